--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -65,7 +65,7 @@
 // subscribeDelay is a random wait before a call for the list, so that many dispatchers do not call at the
 // same moment.
 func (m *Machine) subscribeDelay() time.Duration {
-	if !m.settings.LargeFleet() {
+	if !m.settings.ManyDispatchers() {
 		return 0
 	}
 	part := min(float64(m.settings.Peers-manyDispatchersThreshold)*subscribeSpreadPerPeer, maxSubscribeSpread)
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -103,10 +103,10 @@
 
 	// The following fields are for the code that carries out the actions; no decision depends on them.
 
-	ZoneNames  []string      // names of zones by their number
-	KindNames  []string      // names of machine kinds by their number
-	FreeSlots  string        // name of the load report's field with the free slots; empty if there is none
-	DrainGrace time.Duration // how long a worker may still be sent to after it is known to be draining
+	ZoneNames      []string      // names of zones by their number
+	KindNames      []string      // names of machine kinds by their number
+	FreeSlotsField string        // name of the load report's field with the free slots; empty if there is none
+	DrainGrace     time.Duration // how long a worker may still be sent to after it is known to be draining
 }
 
 // manyDispatchersThreshold is the largest number of dispatchers that may call for the endpoint list at the
@@ -114,9 +114,9 @@
 // still serve that many.
 const manyDispatchersThreshold = 8
 
-// LargeFleet reports whether there are so many dispatchers that their calls for the endpoint list must be
+// ManyDispatchers reports whether there are so many dispatchers that their calls for the endpoint list must be
 // spread over time. Until its first call, a dispatcher uses the initial endpoint list.
-func (s *Settings) LargeFleet() bool { return s.Peers > manyDispatchersThreshold }
+func (s *Settings) ManyDispatchers() bool { return s.Peers > manyDispatchersThreshold }
 
 // normalize checks the settings and replaces zero values that are not usable. It does not modify the
 // caller's Classes.
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -32,7 +32,7 @@
 	id      connlimit.ID // in api.limiter
 	conn    *transport.Conn
 	input   *transport.Buffer // received bytes; nil if there are none
-	reader  httpwire.CallReader
+	reader  httpwire.RequestLineReader
 	timeout eventloop.Deadline
 }
 
@@ -48,7 +48,7 @@
 	request, complete, err := c.reader.Read(c.input.Bytes())
 	switch {
 	case err != nil:
-		c.respondError(httpwire.StatusOf(err), err)
+		c.respondError(httpwire.StatusForError(err), err)
 	case complete:
 		c.serve(request)
 	}
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -37,7 +37,7 @@
 }
 
 // serve passes a complete call to the handler of its path.
-func (c *call) serve(request httpwire.Call) {
+func (c *call) serve(request httpwire.RequestLine) {
 	matched, found := routes[request.Path]
 	switch {
 	case !found:
--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -234,7 +234,7 @@
 	case Unknown:
 		taken += max(config.Reserve-openKnown-min(l.openByTrust[Learned], learnedReserve), 0)
 	case Learned:
-		keptForUnknown := int(config.Learn.Newcomer * float64(config.unreserved()))
+		keptForUnknown := int(config.Learn.UnknownShare * float64(config.unreserved()))
 		taken += max(config.Reserve-learnedReserve-openKnown, 0)
 		taken += max(keptForUnknown-l.openByTrust[Unknown], 0)
 	}
--- a/internal/connlimit/config.go
+++ b/internal/connlimit/config.go
@@ -50,11 +50,11 @@
 // LearnConfig configures whether addresses become Learned when enough of their
 // requests were served.
 type LearnConfig struct {
-	Enabled  bool
-	HalfLife time.Duration // time in which the count of served requests decays to a half; default 10 min
-	After    float64       // decayed count of served requests from which on an address is Learned; default 20
-	Share    float64       // share of the reserve that learned addresses may use; default 0.5
-	Newcomer float64       // share of the unreserved capacity that is kept for unknown addresses; default 0.1
+	Enabled      bool
+	HalfLife     time.Duration // time in which the count of served requests decays to a half; default 10 min
+	MinScore     float64       // decayed count of served requests from which on an address is Learned; default 20
+	ReserveShare float64       // share of the reserve that learned addresses may use; default 0.5
+	UnknownShare float64       // share of the unreserved capacity that is kept for unknown addresses; default 0.1
 }
 
 // Config configures a Limiter. If only Capacity is set, there are no other limits, and
@@ -74,9 +74,9 @@
 	Seed                uint64 // seed of the hash tables; must be secret, so that clients cannot provoke collisions
 	Anonymous           bool   // connections are only added by Adopt, and no addresses are remembered
 
-	Grace       time.Duration // for how long a half-read connection is not evicted, except ForMemory; default 1 s
-	SilentGrace time.Duration // for how long a connection that becomes silent is not evicted; default Grace
-	SilentTime  time.Duration // replaces SilentGrace while TooManySilent, for ForSilence; default 2.5 s
+	Grace              time.Duration // for how long a half-read connection is not evicted, except ForMemory; default 1 s
+	SilentGrace        time.Duration // for how long a connection that becomes silent is not evicted; default Grace
+	CrowdedSilentGrace time.Duration // replaces SilentGrace while TooManySilent, for ForSilence; default 2.5 s
 
 	MinRate   float64       // minimum rate of a half-read request in bytes per second; 0 means no limit
 	RateGrace time.Duration // time from the request's first byte until MinRate applies; default 500 ms
@@ -95,7 +95,7 @@
 		return errors.New("prefix bits: not between 1 and 32, or 128")
 	case c.Rate < 0 || c.MinRate < 0:
 		return errors.New("rate: must not be negative")
-	case c.Learn.Share < 0 || c.Learn.Share > 1 || c.Learn.Newcomer < 0 || c.Learn.Newcomer > 1:
+	case c.Learn.ReserveShare < 0 || c.Learn.ReserveShare > 1 || c.Learn.UnknownShare < 0 || c.Learn.UnknownShare > 1:
 		return errors.New("learned or newcomers' share: not between 0 and 1")
 	case len(c.Known) > maxPrefixes || len(c.TrustedProxies) > maxPrefixes:
 		return fmt.Errorf("known or trusted prefixes: more than %d", maxPrefixes)
@@ -114,16 +114,16 @@
 func (c *Config) setDefaults() {
 	setDefault(&c.Grace, defaultGrace)
 	setDefault(&c.SilentGrace, c.Grace)
-	setDefault(&c.SilentTime, defaultSilentTime)
+	setDefault(&c.CrowdedSilentGrace, defaultSilentTime)
 	setDefault(&c.RateGrace, defaultRateGrace)
 	setDefault(&c.V4Bits, defaultV4Bits)
 	setDefault(&c.V6Bits, defaultV6Bits)
 	setDefault(&c.Addresses, defaultAddressEntries)
 	setDefault(&c.Prefixes, defaultPrefixEntries)
 	setDefault(&c.Learn.HalfLife, defaultLearnHalfLife)
-	setDefault(&c.Learn.After, defaultLearnAfter)
-	setDefault(&c.Learn.Share, defaultLearnShare)
-	setDefault(&c.Learn.Newcomer, defaultNewcomerShare)
+	setDefault(&c.Learn.MinScore, defaultLearnAfter)
+	setDefault(&c.Learn.ReserveShare, defaultLearnShare)
+	setDefault(&c.Learn.UnknownShare, defaultNewcomerShare)
 }
 
 // setDefault sets a field to a value if it has the zero value.
@@ -143,7 +143,7 @@
 }
 
 // learnedReserve returns the part of the reserve that learned addresses may use.
-func (c *Config) learnedReserve() int { return int(c.Learn.Share * float64(c.Reserve)) }
+func (c *Config) learnedReserve() int { return int(c.Learn.ReserveShare * float64(c.Reserve)) }
 
 // unreserved returns the capacity outside the reserve, which is the maximum number of
 // connections of unknown addresses.
--- a/internal/connlimit/config_test.go
+++ b/internal/connlimit/config_test.go
@@ -9,7 +9,7 @@
 		{Capacity: 5, Reserve: 5},
 		{Capacity: 5, V4Bits: 33},
 		{Capacity: 5, Rate: -1},
-		{Capacity: 5, Learn: LearnConfig{Share: 2}},
+		{Capacity: 5, Learn: LearnConfig{ReserveShare: 2}},
 		{Capacity: 5, Prefix: Limits{HalfRead: -1}},
 	} {
 		if _, err := New(config); err == nil {
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -31,11 +31,11 @@
 // selects none.
 type Spared struct {
 	Proven bool             // spares all connections in the stage Proven
-	Single func(Token) bool // if not nil, spares the connections for which it returns true
+	Match  func(Token) bool // if not nil, spares the connections for which it returns true
 }
 
 // spares reports whether Single spares a connection.
-func (s Spared) spares(connection *conn) bool { return s.Single != nil && s.Single(connection.token) }
+func (s Spared) spares(connection *conn) bool { return s.Match != nil && s.Match(connection.token) }
 
 // EvictionCandidate returns the connection to be evicted next, or false if there is
 // none.
@@ -87,7 +87,7 @@
 	case stage != Silent && stage != HalfRead || need == ForMemory:
 		return math.MaxInt64
 	case need == ForSilence:
-		return now - l.config.SilentTime
+		return now - l.config.CrowdedSilentGrace
 	case stage == Silent:
 		return now - l.config.SilentGrace
 	}
--- a/internal/connlimit/eviction_test.go
+++ b/internal/connlimit/eviction_test.go
@@ -103,7 +103,7 @@
 	e.evictAll(graceOfLatest, ForUnknown)
 	e.wantCandidate(11*time.Second, ForTrusted, Spared{Proven: true}, 8)
 	spareLatest := func(token Token) bool { return token == 8 }
-	e.wantCandidate(11*time.Second, ForTrusted, Spared{Proven: true, Single: spareLatest}, NoToken)
+	e.wantCandidate(11*time.Second, ForTrusted, Spared{Proven: true, Match: spareLatest}, NoToken)
 	e.checkInvariants()
 }
 
--- a/internal/connlimit/reason.go
+++ b/internal/connlimit/reason.go
@@ -17,41 +17,41 @@
 	PrefixRate
 	PrefixHalfRead
 	PrefixBytes
-	FairShare     // under pressure, the address has its fair share of connections already
-	Full          // no capacity for an unknown address
-	FullTrusted   // no capacity for a trusted address, which may be admitted after an eviction
-	TotalRate     // Config.Rate is exceeded
-	NoDescriptors // no descriptors, or almost none, are left
-	BadHeader     // a trusted proxy has not sent a valid PROXY header
-	Slow          // a request arrives at less than Config.MinRate
-	Stalled       // the client does not read its responses
-	Greedy        // the client uses more memory than its share
-	NumReasons    // the number of reasons
+	FairShare           // under pressure, the address has its fair share of connections already
+	Full                // no capacity for an unknown address
+	FullTrusted         // no capacity for a trusted address, which may be admitted after an eviction
+	TotalRate           // Config.Rate is exceeded
+	NoDescriptors       // no descriptors, or almost none, are left
+	BadHeader           // a trusted proxy has not sent a valid PROXY header
+	SlowRequest         // a request arrives at less than Config.MinRate
+	ResponsesUnread     // the client does not read its responses
+	MemoryShareExceeded // the client uses more memory than its share
+	NumReasons          // the number of reasons
 )
 
 // reasonNames are the keys of the reasons in the admin API's JSON.
 var reasonNames = [NumReasons]string{
-	Allowed:         "fine",
-	Blocked:         "barred",
-	AddressOpen:     "address_open",
-	AddressOpening:  "address_opening",
-	AddressRate:     "address_rate",
-	AddressHalfRead: "address_half",
-	AddressBytes:    "address_bytes",
-	PrefixOpen:      "prefix_open",
-	PrefixOpening:   "prefix_opening",
-	PrefixRate:      "prefix_rate",
-	PrefixHalfRead:  "prefix_half",
-	PrefixBytes:     "prefix_bytes",
-	FairShare:       "fair_share",
-	Full:            "full",
-	FullTrusted:     "full_known",
-	TotalRate:       "total_rate",
-	NoDescriptors:   "descriptors",
-	BadHeader:       "bad_proxy_header",
-	Slow:            "too_slow",
-	Stalled:         "answers_not_read",
-	Greedy:          "too_greedy",
+	Allowed:             "fine",
+	Blocked:             "barred",
+	AddressOpen:         "address_open",
+	AddressOpening:      "address_opening",
+	AddressRate:         "address_rate",
+	AddressHalfRead:     "address_half",
+	AddressBytes:        "address_bytes",
+	PrefixOpen:          "prefix_open",
+	PrefixOpening:       "prefix_opening",
+	PrefixRate:          "prefix_rate",
+	PrefixHalfRead:      "prefix_half",
+	PrefixBytes:         "prefix_bytes",
+	FairShare:           "fair_share",
+	Full:                "full",
+	FullTrusted:         "full_known",
+	TotalRate:           "total_rate",
+	NoDescriptors:       "descriptors",
+	BadHeader:           "bad_proxy_header",
+	SlowRequest:         "too_slow",
+	ResponsesUnread:     "answers_not_read",
+	MemoryShareExceeded: "too_greedy",
 }
 
 // String returns the reason's key in the admin API's JSON.
--- a/internal/connlimit/reserve_test.go
+++ b/internal/connlimit/reserve_test.go
@@ -18,7 +18,7 @@
 		Capacity: 38,
 		Reserve:  20,
 		Known:    []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")},
-		Learn:    LearnConfig{Enabled: true, After: 3, Newcomer: 0.2},
+		Learn:    LearnConfig{Enabled: true, MinScore: 3, UnknownShare: 0.2},
 	})
 }
 
@@ -104,7 +104,7 @@
 	serveRequests(limiter, admit(t, limiter, 0, learnedAddr, Allowed))
 	_, last := fillWithLearned(t, limiter)
 	fillRest(t, limiter)
-	limiter.ReportAbuse(0, last, Slow)
+	limiter.ReportAbuse(0, last, SlowRequest)
 	_, reason := limiter.Admit(0, netip.MustParseAddr(learnedAddr), 1)
 	if limiter.TrustOf(last) != Unknown || reason == FullTrusted {
 		t.Errorf("after abuse: trust %v, want unknown; another connection: %v, want any reason but %v",
@@ -119,7 +119,7 @@
 
 // The score by which an address is Learned decays with the configured half-life.
 func TestLearnedTrustDecays(t *testing.T) {
-	limiter := newLimiter(t, Config{Capacity: 10, Learn: LearnConfig{Enabled: true, After: 2, HalfLife: time.Minute}})
+	limiter := newLimiter(t, Config{Capacity: 10, Learn: LearnConfig{Enabled: true, MinScore: 2, HalfLife: time.Minute}})
 	id := admit(t, limiter, 0, learnedAddr, Allowed)
 	for range 3 {
 		limiter.BecameIdle(0, id, true)
--- a/internal/connlimit/trust.go
+++ b/internal/connlimit/trust.go
@@ -34,7 +34,7 @@
 		return Known
 	}
 	learn := &l.config.Learn
-	if entry != nil && learn.Enabled && entry.scoreAt(l.ticksAt(now), learn.HalfLife) >= learn.After {
+	if entry != nil && learn.Enabled && entry.scoreAt(l.ticksAt(now), learn.HalfLife) >= learn.MinScore {
 		return Learned
 	}
 	return Unknown
@@ -76,7 +76,7 @@
 	entry.abusedAt = 0
 	entry.score = float32(min(entry.scoreAt(t, learn.HalfLife)+1, maxScore))
 	entry.scoredAt = t
-	l.addresses.setLearned(connection.address, float64(entry.score) >= learn.After)
+	l.addresses.setLearned(connection.address, float64(entry.score) >= learn.MinScore)
 }
 
 // ReportAbuse counts a rejection for a reason that is an abuse by the connection's
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -19,7 +19,7 @@
 
 // maxClients returns how many client connections each front end may have open.
 func (l *loadedFiles) maxClients() int {
-	share := transport.AcceptedShare(l.config.connectionDescriptors())
+	share := transport.AcceptedDescriptors(l.config.connectionDescriptors())
 	if l.hasFaktory && l.config.Listen != "" {
 		return share / 2 // each of the two front ends gets half
 	}
@@ -98,7 +98,7 @@
 		}
 		return nil
 	}
-	if err := faktoryConfig.Movable(&p.dispatcher.Settings); err != nil {
+	if err := faktoryConfig.CheckHandover(&p.dispatcher.Settings); err != nil {
 		return fmt.Errorf("%s: the Faktory front end cannot be handed over, %w: end the running process first", file, err)
 	}
 	p.replacement.openFaktory = open
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -71,7 +71,7 @@
 	}
 	err = l.faktory.Check(&l.settings)
 	if err == nil {
-		err = faktory.Prepare(&l.settings)
+		err = faktory.AddWorkerKinds(&l.settings)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: faktory.%w", files.Operator, err)
@@ -87,7 +87,7 @@
 	l.hasFaktory = true
 	l.faktory, err = faktory.ReadConfig(path, &l.settings)
 	if err == nil {
-		err = faktory.Prepare(&l.settings)
+		err = faktory.AddWorkerKinds(&l.settings)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -45,7 +45,7 @@
 		if err != nil {
 			p.dispatcher.Log("handover: " + err.Error())
 		}
-		p.dispatcher.BlockIDs(ids)
+		p.dispatcher.AddKnownIDs(ids)
 	}
 	if message.Reservation != nil {
 		p.dispatcher.ReservedElsewhere(message.Reservation.Worker, message.Reservation.Amount)
@@ -56,7 +56,7 @@
 	if message.DiscoveryMoved != "" && message.DiscoveryMoved != p.config.Discovery {
 		p.dispatcher.Log("discovery moves to " + message.DiscoveryMoved + ", as the peer process says")
 		p.config.Discovery = message.DiscoveryMoved
-		p.registry.MoveTo(message.DiscoveryMoved)
+		p.registry.ChangeAddress(message.DiscoveryMoved)
 	}
 }
 
@@ -71,7 +71,7 @@
 	p.dispatcher.Loop.Clear(&p.replacement.limitsTimer)
 	p.useAllLimits()
 	if p.frontEnds.http != nil {
-		p.frontEnds.http.SetShared(false)
+		p.frontEnds.http.SetListenerShared(false)
 	}
 }
 
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -87,7 +87,7 @@
 	if message.Ready {
 		p.dispatcher.Log("successor is accepting clients")
 		p.replacement.successorServing = true
-		p.frontEnds.http.SetShared(true)
+		p.frontEnds.http.SetListenerShared(true)
 		p.sendLimits()
 	}
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -98,7 +98,7 @@
 	message := "reload: discovery stays at " + p.config.Discovery
 	if next.config.Discovery != p.config.Discovery {
 		message = "reload: discovery moves to " + next.config.Discovery
-		p.registry.MoveTo(next.config.Discovery)
+		p.registry.ChangeAddress(next.config.Discovery)
 		p.sendToPeer(handover.Message{DiscoveryMoved: next.config.Discovery})
 	}
 	if keys := p.restartKeys(next); len(keys) > 0 {
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -69,7 +69,7 @@
 	return &lastAnswers{
 		process:       p,
 		stopReadingAt: now + readWindow,
-		lingerUntil:   now + readWindow + transport.LingerTime,
+		lingerUntil:   now + readWindow + transport.MaxLingerTime,
 		upstreamUntil: now + upstreamTimeout,
 	}
 }
@@ -85,7 +85,7 @@
 		idle = idle && frontEnds.http.OpenConnections() == 0
 	}
 	if a.process.dispatcher.Unanswered() > 0 {
-		a.lingerUntil = now + transport.LingerTime
+		a.lingerUntil = now + transport.MaxLingerTime
 	}
 	return a.finished(now, idle)
 }
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -116,7 +116,7 @@
 		return
 	}
 	if p.replacement.link != nil {
-		p.frontEnds.http.SetShared(true)
+		p.frontEnds.http.SetListenerShared(true)
 	}
 	p.serve()
 	p.dispatcher.Log("accepting clients")
--- a/internal/discovery/descriptors_test.go
+++ b/internal/discovery/descriptors_test.go
@@ -32,7 +32,7 @@
 			}
 			frontEnd.SetGate(gate)
 		}
-		addr, err = frontEnd.Listen("127.0.0.1:0", transport.AcceptedShare(descriptors))
+		addr, err = frontEnd.Listen("127.0.0.1:0", transport.AcceptedDescriptors(descriptors))
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/discovery/discoveryserver_test.go
+++ b/internal/discovery/discoveryserver_test.go
@@ -54,7 +54,7 @@
 func newRegistry(rig *testkit.Rig, addr string) *Registry {
 	registry := New(rig.Dispatcher, rig.Engine, addr)
 	client := stubClient{registry}
-	registry.Attach(client)
+	registry.SetWorkerClient(client)
 	rig.Dispatcher.AddSource(client)
 	return registry
 }
--- a/internal/discovery/handover.go
+++ b/internal/discovery/handover.go
@@ -24,7 +24,7 @@
 		exported.Endpoints = append(exported.Endpoints, listed)
 	}
 	slices.SortFunc(exported.Endpoints, func(a, b endpoint) int { return strings.Compare(a.Name, b.Name) })
-	age := (r.dispatcher.Loop.Now() - r.freshness.tracker.LastContact()).Milliseconds()
+	age := (r.dispatcher.Loop.Now() - r.freshness.tracker.ConfirmedAt()).Milliseconds()
 	exported.AgeMs = &age
 	list, err = json.Marshal(exported)
 	return r.watch.address, list, err
--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -97,7 +97,7 @@
 		return
 	}
 	settings := &r.dispatcher.Settings
-	subscribesLater := settings.ListBySubscription && settings.LargeFleet() // the dispatcher calls Subscribe
+	subscribesLater := settings.ListBySubscription && settings.ManyDispatchers() // the dispatcher calls Subscribe
 	if r.watch.address == "" || subscribesLater {
 		r.publishInitial(nil)
 		r.watch.scheduleReconnect(r.watch.lastContact)
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -143,7 +143,7 @@
 	testkit.Receive(t, formerCalls).Close()
 	waitOnLoop(t, rig, "the call has failed", func() bool { return registry.watch.nextCallAt > 0 })
 	rig.Do(func() {
-		registry.MoveTo(next)
+		registry.ChangeAddress(next)
 		if !registry.watch.calling || registry.watch.nextCallAt != 0 {
 			t.Error("the new address is not called at once, or twice")
 		}
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -80,8 +80,8 @@
 	return r
 }
 
-// Attach sets the worker client. It must be called before the first list is loaded.
-func (r *Registry) Attach(client WorkerClient) { r.client = client }
+// SetWorkerClient sets the worker client. It must be called before the first list is loaded.
+func (r *Registry) SetWorkerClient(client WorkerClient) { r.client = client }
 
 // Worker returns the listed worker of that name, or nil.
 func (r *Registry) Worker(name string) *Worker { return r.workers[name] }
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -24,10 +24,10 @@
 // the list does not become stale, and in which unconfirmed counts as current. Package freshness defines the rules in
 // detail.
 type listFreshness struct {
-	tracker   freshness.Tracker   // when the source confirmed the list, and how calls to it have ended since
-	knowledge freshness.Knowledge // the result of the last Refresh, by which workers are suspended
-	timer     eventloop.Deadline  // fires when the knowledge may change because time has passed
-	wasUsable bool                // a published list has been current or unconfirmed at some time since the start
+	tracker   freshness.Tracker  // when the source confirmed the list, and how calls to it have ended since
+	knowledge freshness.State    // the result of the last Refresh, by which workers are suspended
+	timer     eventloop.Deadline // fires when the knowledge may change because time has passed
+	wasUsable bool               // a published list has been current or unconfirmed at some time since the start
 }
 
 // Refresh evaluates how fresh the list is now, and suspends or resumes workers if that has changed.
@@ -40,7 +40,7 @@
 		return
 	}
 	r.freshness.knowledge = knowledge
-	lastContact := r.dispatcher.Loop.Now() - r.freshness.tracker.LastContact()
+	lastContact := r.dispatcher.Loop.Now() - r.freshness.tracker.ConfirmedAt()
 	r.dispatcher.Log(fmt.Sprintf("the endpoint list is %v, the last contact with discovery was %v ago",
 		knowledge, lastContact.Round(time.Millisecond)))
 	if knowledge == freshness.Unknown {
@@ -48,7 +48,7 @@
 		return
 	}
 	r.resumeIf(func(worker *Worker) bool {
-		return knowledge == freshness.Current || worker.evidence.Holds(&r.freshness.tracker)
+		return knowledge == freshness.Current || worker.evidence.Valid(&r.freshness.tracker)
 	})
 }
 
@@ -64,11 +64,11 @@
 // currentKnowledge returns how far the list can be relied on now. A list does not become stale if membership servers are
 // followed, if there is no source, or before it is published. If health checks are off, an unconfirmed list counts as
 // current, since the workers cannot be checked.
-func (r *Registry) currentKnowledge() freshness.Knowledge {
+func (r *Registry) currentKnowledge() freshness.State {
 	if r.follower != nil || r.watch.address == "" || r.initial.withheld() {
 		return freshness.Current
 	}
-	knowledge := r.freshness.tracker.Knowledge(r.dispatcher.Loop.Now())
+	knowledge := r.freshness.tracker.State(r.dispatcher.Loop.Now())
 	if knowledge == freshness.Unconfirmed && !r.dispatcher.Settings.HealthChecks {
 		return freshness.Current
 	}
--- a/internal/discovery/suspension.go
+++ b/internal/discovery/suspension.go
@@ -33,7 +33,7 @@
 	case freshness.Unknown:
 		return Suspended
 	}
-	if !worker.evidence.Holds(&r.freshness.tracker) {
+	if !worker.evidence.Valid(&r.freshness.tracker) {
 		r.suspend(worker)
 		return Suspended
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -78,9 +78,9 @@
 // SetAddress sets the address of discovery before the first call.
 func (r *Registry) SetAddress(addr string) { r.watch.address = addr }
 
-// MoveTo continues the watch at another address, at once and from the version reached. The list and all attempts in
+// ChangeAddress continues the watch at another address, at once and from the version reached. The list and all attempts in
 // flight are kept.
-func (r *Registry) MoveTo(addr string) {
+func (r *Registry) ChangeAddress(addr string) {
 	r.watch.address = addr
 	if r.follower == nil {
 		r.watch.open()
@@ -161,7 +161,7 @@
 	w.notBefore = now + minBackoff
 	w.registry.publishInitial(nil)
 	w.reportFailure()
-	if failure == freshness.BrokenOff { // discovery is reachable, so the notification bound has begun to run
+	if failure == freshness.IncompleteResponse { // discovery is reachable, so the notification bound has begun to run
 		w.scheduleCall(w.notBefore)
 		return
 	}
@@ -174,18 +174,18 @@
 	var status statusError
 	switch {
 	case w.conn == nil, errors.As(cause, &status), transport.IsLocalError(cause):
-		return freshness.NotReached
+		return freshness.SourceUnreachable
 	case w.usesAgent():
 		if w.response.headRead && !w.established {
-			return freshness.BrokenOff
+			return freshness.IncompleteResponse
 		}
-		return freshness.NotReached
+		return freshness.SourceUnreachable
 	case cause == errWatchEnded && w.established && !w.midLine(): // as in an orderly shutdown
-		return freshness.NotReached
+		return freshness.SourceUnreachable
 	case w.response.headRead:
-		return freshness.BrokenOff
+		return freshness.IncompleteResponse
 	}
-	return freshness.NotReached
+	return freshness.SourceUnreachable
 }
 
 // onTimeout ends a call for which nothing has arrived in time. If bytes are waiting to be read, the timeout is extended
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -26,7 +26,7 @@
 			call.sendLaterSnapshot()
 			confirmedAt := time.Duration(0)
 			waitOnLoop(t, rig, "the list is applied", func() bool {
-				confirmedAt = registry.freshness.tracker.LastContact()
+				confirmedAt = registry.freshness.tracker.ConfirmedAt()
 				return registry.workers["new"] != nil
 			})
 			io.WriteString(call, testkit.Chunk(line))
@@ -34,7 +34,7 @@
 				return registry.watch.conn == nil || registry.watch.generation > 2
 			})
 			rig.Do(func() {
-				if got := registry.freshness.tracker.LastContact(); got != confirmedAt {
+				if got := registry.freshness.tracker.ConfirmedAt(); got != confirmedAt {
 					t.Errorf("confirmed at %v, not at %v", got, confirmedAt)
 				}
 			})
--- a/internal/discovery/worker.go
+++ b/internal/discovery/worker.go
@@ -20,18 +20,18 @@
 	suspended         bool          // the dispatcher sends it nothing
 }
 
-// HealthConfirmed reports that a worker has passed a health check that was sent at loop time sentAt.
-func (r *Registry) HealthConfirmed(worker *Worker, sentAt time.Duration) {
+// HealthCheckPassed reports that a worker has passed a health check that was sent at loop time sentAt.
+func (r *Registry) HealthCheckPassed(worker *Worker, sentAt time.Duration) {
 	worker.healthConfirmedAt = sentAt
 }
 
-// HealthDenied reports that a worker failed a health check. The worker is suspended if the list is unconfirmed.
-func (r *Registry) HealthDenied(worker *Worker) {
-	worker.evidence.Denied(&r.freshness.tracker)
+// HealthCheckFailed reports that a worker failed a health check. The worker is suspended if the list is unconfirmed.
+func (r *Registry) HealthCheckFailed(worker *Worker) {
+	worker.evidence.Invalidate(&r.freshness.tracker)
 	if r.freshness.knowledge == freshness.Unconfirmed {
 		r.suspend(worker)
 	}
 }
 
 // ConnectFailed reports that no connection to a worker could be established.
-func (r *Registry) ConnectFailed(worker *Worker) { worker.evidence.Denied(&r.freshness.tracker) }
+func (r *Registry) ConnectFailed(worker *Worker) { worker.evidence.Invalidate(&r.freshness.tracker) }
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -31,10 +31,10 @@
 	}
 }
 
-// MayMove reports whether a worker client may send an attempt on another connection, after it has claimed that the
+// MayResend reports whether a worker client may send an attempt on another connection, after it has claimed that the
 // attempt was never sent. It returns false if the attempt has ended meanwhile. If an earlier report contradicts the
-// claim, the claim is wrong: MayMove then ends the attempt as one that may have run, and returns false.
-func (d *Dispatcher) MayMove(attemptHandle uint64) bool {
+// claim, the claim is wrong: MayResend then ends the attempt as one that may have run, and returns false.
+func (d *Dispatcher) MayResend(attemptHandle uint64) bool {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil {
 		return false
@@ -72,7 +72,7 @@
 	case attempt.started && attempt.fence == 0:
 		reported = invariant.StartReported
 	}
-	if d.Guard.CheckNeverSent(reported, describeAttempt(request, attempt)+" "+claim) {
+	if d.Guard.CheckNeverSentClaim(reported, describeAttempt(request, attempt)+" "+claim) {
 		return true
 	}
 	d.logClaims(request)
@@ -81,7 +81,7 @@
 
 // logClaims logs the recorded claims about a request for which an invariant was violated.
 func (d *Dispatcher) logClaims(request *openRequest) {
-	for _, claim := range d.claims.Of(request.ID) {
+	for _, claim := range d.claims.ForRequest(request.ID) {
 		d.Log("request " + request.ID + " " + claim.String())
 	}
 }
--- a/internal/dispatch/contradiction_test.go
+++ b/internal/dispatch/contradiction_test.go
@@ -82,7 +82,7 @@
 		},
 		"sent, then moved": func(c *contradictionTest) {
 			c.dispatcher.AttemptSent(c.firstAttempt)
-			if c.dispatcher.MayMove(c.firstAttempt) {
+			if c.dispatcher.MayResend(c.firstAttempt) {
 				t.Error("an attempt that was sent may be sent again")
 			}
 		},
@@ -123,7 +123,7 @@
 func TestEndedAttemptIsNotMoved(t *testing.T) {
 	test := newContradictionTest(t)
 	test.end(decision.ConnectionLost)
-	if test.dispatcher.MayMove(test.firstAttempt) {
+	if test.dispatcher.MayResend(test.firstAttempt) {
 		t.Error("an attempt that has ended may be sent again")
 	}
 	if got := test.dispatcher.Guard.Violated(); len(got) > 0 {
--- a/internal/dispatch/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -85,8 +85,8 @@
 // request is accepted.
 func (d *Dispatcher) AdoptIDKey(key []byte) { copy(d.ids.key[:], key) }
 
-// BlockIDs adds these hashed IDs to the known IDs, since another process has or had requests with them.
-func (d *Dispatcher) BlockIDs(hashes []uint64) {
+// AddKnownIDs adds these hashed IDs to the known IDs, since another process has or had requests with them.
+func (d *Dispatcher) AddKnownIDs(hashes []uint64) {
 	for _, hash := range hashes {
 		d.ids.remember(hash)
 	}
--- a/internal/faktory/classset.go
+++ b/internal/faktory/classset.go
@@ -19,10 +19,10 @@
 // with returns the set with one more class.
 func (s classSet) with(class int) classSet { return s | 1<<class }
 
-// Prepare adds worker kinds to the settings, one for each classSet: kind
+// AddWorkerKinds adds worker kinds to the settings, one for each classSet: kind
 // len(KindNames)+set runs the classes of set. With these, the decision module
 // itself never assigns a job to a worker that does not fetch its queue.
-func Prepare(settings *decision.Settings) error {
+func AddWorkerKinds(settings *decision.Settings) error {
 	if len(settings.Classes) > maxClasses {
 		return fmt.Errorf("settings: classes: the Faktory front takes %d at most", maxClasses)
 	}
--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -57,9 +57,9 @@
 	Log *slog.Logger `toml:"-"` // for the service of durable jobs; if it is nil nothing is logged
 }
 
-// ErrSourceNotMovable is the error of Config.Movable for a process with the
+// ErrSourceHandover is the error of Config.Movable for a process with the
 // source role, which cannot hand over to a successor.
-var ErrSourceNotMovable = errors.New("it fetches from upstream, whose jids are in memory only")
+var ErrSourceHandover = errors.New("it fetches from upstream, whose jids are in memory only")
 
 // DirectQueueError is the error of Config.Movable for a process with a direct
 // queue, which cannot hand over to a successor.
@@ -132,12 +132,12 @@
 	return nil
 }
 
-// Movable checks that a process with this configuration can hand over to a
+// CheckHandover checks that a process with this configuration can hand over to a
 // successor, which needs all its state to be in the store. The error is
 // ErrSourceNotMovable or a *DirectQueueError.
-func (c *Config) Movable(settings *decision.Settings) error {
+func (c *Config) CheckHandover(settings *decision.Settings) error {
 	if c.Source.Address != "" {
-		return ErrSourceNotMovable
+		return ErrSourceHandover
 	}
 	for i := range settings.Classes {
 		name := settings.Classes[i].Name
--- a/internal/faktory/config_test.go
+++ b/internal/faktory/config_test.go
@@ -63,11 +63,11 @@
 	settings := decision.Settings{Classes: []decision.Class{{Name: "status-check"}, {Name: "renewal"}}}
 	config := Default()
 	config.Durable.Queues = []string{"status-check", "renewal"}
-	if err := config.Movable(&settings); err != nil {
+	if err := config.CheckHandover(&settings); err != nil {
 		t.Errorf("all queues durable: %v", err)
 	}
 	config.Durable.Queues = []string{"status-check"}
-	err := config.Movable(&settings)
+	err := config.CheckHandover(&settings)
 	var direct *DirectQueueError
 	if !errors.As(err, &direct) || direct.Queue != "renewal" {
 		t.Errorf("one direct queue: %v", err)
@@ -76,8 +76,8 @@
 		t.Errorf("one direct queue: %v", err)
 	}
 	config.Source.Address = "127.0.0.1:1"
-	err = config.Movable(&settings)
-	if !errors.Is(err, ErrSourceNotMovable) {
+	err = config.CheckHandover(&settings)
+	if !errors.Is(err, ErrSourceHandover) {
 		t.Errorf("with the source role: %v", err)
 	}
 	if err == nil || err.Error() != "it fetches from upstream, whose jids are in memory only" {
--- a/internal/faktory/connection.go
+++ b/internal/faktory/connection.go
@@ -127,7 +127,7 @@
 	if !c.busy {
 		c.writeLine(replyMalformed + "command " + errTooLong.Error())
 	}
-	c.server.gate.Limiter.ReportAbuse(c.server.dispatcher.Loop.Now(), c.admissionID, connlimit.Greedy)
+	c.server.gate.Limiter.ReportAbuse(c.server.dispatcher.Loop.Now(), c.admissionID, connlimit.MemoryShareExceeded)
 	c.detach()
 	c.cancelPush()
 	c.conn.CloseGracefully()
--- a/internal/faktory/frontend_test.go
+++ b/internal/faktory/frontend_test.go
@@ -43,7 +43,7 @@
 		SlowStartDuration: 8600 * time.Millisecond,
 		OverloadMultiple:  4,
 		OverloadWindow:    time.Second,
-		FreeSlots:         "x0",
+		FreeSlotsField:    "x0",
 		DrainGrace:        500 * time.Millisecond,
 	}
 }
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Prepare(&settings); err != nil {
+	if err := AddWorkerKinds(&settings); err != nil {
 		t.Fatal(err)
 	}
 	var frontEnd FrontEnd
--- a/internal/faktory/proxyheader_test.go
+++ b/internal/faktory/proxyheader_test.go
@@ -20,7 +20,7 @@
 // being counted, and was logged with an invalid address.
 func TestBadProxyHeaderIsCountedAndLogged(t *testing.T) {
 	settings := testSettings()
-	if err := Prepare(&settings); err != nil {
+	if err := AddWorkerKinds(&settings); err != nil {
 		t.Fatal(err)
 	}
 	rig := testkit.NewRig(t, func(rigSettings *decision.Settings) { *rigSettings = settings })
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -112,7 +112,7 @@
 	accepted := &connection{server: s, conn: conn}
 	accepted.input.pool = &s.engine.Pool
 	accepted.token = s.connections.Insert(accepted)
-	accepted.admissionID = s.gate.Accepted(frontEndNumber, accepted.token, conn.AdmissionToken)
+	accepted.admissionID = s.gate.RegisterConnection(frontEndNumber, accepted.token, conn.AdmissionToken)
 	accepted.deadline.Fire = accepted.onDeadline
 	accepted.setDeadline(helloTimeout)
 	accepted.awaitsProxyHeader = s.gate.Limiter.TrustOf(accepted.admissionID) == connlimit.TrustedProxy
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -10,12 +10,12 @@
 
 import "time"
 
-// Knowledge says what the list may be used for.
-type Knowledge uint8
+// State says what the list may be used for.
+type State uint8
 
 const (
 	// Current: dispatchers do not yet count as notified of any change that is missing in the list.
-	Current Knowledge = iota
+	Current State = iota
 	// Unconfirmed: the list may be stale. A worker may be sent to if a health check shows that it still serves requests.
 	// If workers have no health checks, the list is used as it is.
 	Unconfirmed
@@ -24,17 +24,17 @@
 )
 
 // String returns the name of the state in lower case.
-func (k Knowledge) String() string { return [...]string{"current", "unconfirmed", "unknown"}[k] }
+func (k State) String() string { return [...]string{"current", "unconfirmed", "unknown"}[k] }
 
 // Failure says how far a call to the source got before it ended without an update.
 type Failure uint8
 
 const (
-	// NotReached: there was no connection, or a reset or a refusal before a response began, or a response which says that
+	// SourceUnreachable: there was no connection, or a reset or a refusal before a response began, or a response which says that
 	// the source is down or overloaded. These cases cannot be distinguished.
-	NotReached Failure = iota
-	// BrokenOff: the source accepted the call, but sent no response or an incomplete one.
-	BrokenOff
+	SourceUnreachable Failure = iota
+	// IncompleteResponse: the source accepted the call, but sent no response or an incomplete one.
+	IncompleteResponse
 )
 
 const (
@@ -122,17 +122,17 @@
 // StaleAt returns when the list stops being current, unless it is confirmed before then.
 func (t *Tracker) StaleAt() time.Duration { return t.confirmedAt + NotificationBound - staleMargin }
 
-// LastContact returns the time up to which the list has all changes.
-func (t *Tracker) LastContact() time.Duration { return t.confirmedAt }
+// ConfirmedAt returns the time up to which the list has all changes.
+func (t *Tracker) ConfirmedAt() time.Duration { return t.confirmedAt }
 
-// Knowledge returns what the list may be used for now:
+// State returns what the list may be used for now:
 //
 //   - Current until StaleAt;
 //   - after StaleAt, for a list that was not confirmed since the start: Unknown during startupWait; then Unconfirmed
 //     while the last call has failed to reach the source within failureValidity, and in any case after maxStartupWait;
 //   - after StaleAt, for a list that was confirmed: Unconfirmed if workers have health checks, or if the last call has
 //     failed to reach the source within failureValidity; otherwise Unknown.
-func (t *Tracker) Knowledge(now time.Duration) Knowledge {
+func (t *Tracker) State(now time.Duration) State {
 	switch {
 	case now < t.StaleAt():
 		return Current
@@ -148,7 +148,7 @@
 
 // sourceUnreachable reports whether the last call has failed to reach the source within failureValidity.
 func (t *Tracker) sourceUnreachable(now time.Duration) bool {
-	return t.failed && t.lastFailure == NotReached && now < t.failedAt+failureValidity
+	return t.failed && t.lastFailure == SourceUnreachable && now < t.failedAt+failureValidity
 }
 
 // NextChange returns the next time at which Knowledge may change by the passing of time alone, or 0 if there is none.
@@ -174,12 +174,12 @@
 	confirmedAt time.Duration // the list's LastContact at the time of the denial
 }
 
-// Denied records that the worker could not be reached, or reported that it does not serve requests.
-func (e *HealthEvidence) Denied(t *Tracker) {
+// Invalidate records that the worker could not be reached, or reported that it does not serve requests.
+func (e *HealthEvidence) Invalidate(t *Tracker) {
 	e.denied = true
-	e.confirmedAt = t.LastContact()
+	e.confirmedAt = t.ConfirmedAt()
 }
 
-// Holds reports whether health checks of the worker still count as proof. A worker for which Denied was called may have
+// Valid reports whether health checks of the worker still count as proof. A worker for which Denied was called may have
 // been removed and restarted since: its health checks prove nothing until the list is confirmed again.
-func (e *HealthEvidence) Holds(t *Tracker) bool { return !e.denied || e.confirmedAt != t.LastContact() }
+func (e *HealthEvidence) Valid(t *Tracker) bool { return !e.denied || e.confirmedAt != t.ConfirmedAt() }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -16,15 +16,15 @@
 type event func(t *Tracker, now time.Duration)
 
 func confirmed(t *Tracker, now time.Duration)  { t.Confirmed(now) }
-func notReached(t *Tracker, now time.Duration) { t.Failed(now, NotReached) }
-func brokenOff(t *Tracker, now time.Duration)  { t.Failed(now, BrokenOff) }
+func notReached(t *Tracker, now time.Duration) { t.Failed(now, SourceUnreachable) }
+func brokenOff(t *Tracker, now time.Duration)  { t.Failed(now, IncompleteResponse) }
 func stalled(t *Tracker, now time.Duration)    { t.Stalled(now) }
 
 // step is one step of a scenario: an event at a time, and the expected Knowledge right after it.
 type step struct {
 	at    time.Duration
 	event event
-	want  Knowledge
+	want  State
 }
 
 // knowledgeScenarios begin with a list that was confirmed at time 0, where workers have no health checks.
@@ -84,7 +84,7 @@
 				if step.event != nil {
 					step.event(&tracker, step.at)
 				}
-				if got := tracker.Knowledge(step.at); got != step.want {
+				if got := tracker.State(step.at); got != step.want {
 					t.Errorf("step %d, at %v: %v, want %v", i, step.at, got, step.want)
 				}
 			}
@@ -99,19 +99,19 @@
 	var confirmed, refused, silent Tracker
 	for _, tracker := range []*Tracker{&confirmed, &refused, &silent} {
 		tracker.Start(start)
-		if got := tracker.Knowledge(start); got != Unknown {
+		if got := tracker.State(start); got != Unknown {
 			t.Errorf("at the start: %v, want %v", got, Unknown)
 		}
 	}
 	confirmed.Confirmed(start + second)
-	refused.Failed(start+second, NotReached)
-	for after, want := range map[time.Duration][3]Knowledge{
+	refused.Failed(start+second, SourceUnreachable)
+	for after, want := range map[time.Duration][3]State{
 		2 * second: {Current, Unknown, Unknown},
 		5 * second: {Current, Unconfirmed, Unknown},
 		8 * second: {Unknown, Unconfirmed, Unconfirmed},
 	} {
 		at := start + after
-		got := [3]Knowledge{confirmed.Knowledge(at), refused.Knowledge(at), silent.Knowledge(at)}
+		got := [3]State{confirmed.State(at), refused.State(at), silent.State(at)}
 		if got != want {
 			t.Errorf("%v after the start: %v, want %v", after, got, want)
 		}
@@ -123,8 +123,8 @@
 	tracker := Tracker{CanCheckHealth: true}
 	tracker.Start(0)
 	tracker.Confirmed(second)
-	tracker.Failed(5*second, BrokenOff)
-	if got := tracker.Knowledge(8 * second); got != Unconfirmed {
+	tracker.Failed(5*second, IncompleteResponse)
+	if got := tracker.State(8 * second); got != Unconfirmed {
 		t.Errorf("%v, want %v", got, Unconfirmed)
 	}
 }
@@ -134,12 +134,12 @@
 	var tracker Tracker
 	tracker.Start(100 * second)
 	tracker.HandedOver(100*second, 7*second)
-	if got := tracker.Knowledge(100 * second); got != Unknown {
+	if got := tracker.State(100 * second); got != Unknown {
 		t.Errorf("a list that was already stale: %v, want %v", got, Unknown)
 	}
 	tracker.HandedOver(101*second, 2*second)
-	before := tracker.Knowledge(104 * second)
-	after := tracker.Knowledge(105 * second)
+	before := tracker.State(104 * second)
+	after := tracker.State(105 * second)
 	if before != Current || after != Unknown {
 		t.Errorf("a list confirmed 2 s before: %v, then %v; want %v, then %v", before, after, Current, Unknown)
 	}
@@ -159,7 +159,7 @@
 			case 1:
 				tracker.Stalled(now)
 			}
-			if tracker.Knowledge(now) == Current && now >= NotificationBound {
+			if tracker.State(now) == Current && now >= NotificationBound {
 				t.Fatalf("seed %d: current at %v, though the list was last confirmed at 0", seed, now)
 			}
 		}
@@ -171,13 +171,13 @@
 	var tracker Tracker
 	tracker.Confirmed(0)
 	var untouched, denied HealthEvidence
-	denied.Denied(&tracker)
-	if !untouched.Holds(&tracker) || denied.Holds(&tracker) {
+	denied.Invalidate(&tracker)
+	if !untouched.Valid(&tracker) || denied.Valid(&tracker) {
 		t.Errorf("the zero value holds: %v, want true; after a denial: %v, want false",
-			untouched.Holds(&tracker), denied.Holds(&tracker))
+			untouched.Valid(&tracker), denied.Valid(&tracker))
 	}
 	tracker.Confirmed(31 * second)
-	if !denied.Holds(&tracker) {
+	if !denied.Valid(&tracker) {
 		t.Error("does not hold, though the list was confirmed again")
 	}
 }
@@ -186,10 +186,10 @@
 	var list Tracker
 	list.Start(-time.Minute)
 	list.Confirmed(0)
-	list.Failed(3*time.Second, BrokenOff)
-	fmt.Println(list.Knowledge(5*time.Second), list.Knowledge(6*time.Second))
-	list.Failed(7*time.Second, NotReached)
-	fmt.Println(list.Knowledge(8 * time.Second))
+	list.Failed(3*time.Second, IncompleteResponse)
+	fmt.Println(list.State(5*time.Second), list.State(6*time.Second))
+	list.Failed(7*time.Second, SourceUnreachable)
+	fmt.Println(list.State(8 * time.Second))
 	// Output:
 	// current unknown
 	// unconfirmed
--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -60,7 +60,7 @@
 func (f *FrontEnd) closeBetweenRequests(silentGrace time.Duration) {
 	now := f.loop().Now()
 	f.connections.ForEach(func(_ uint64, c *clientConnection) {
-		isNew := !c.hasSent && now-c.conn.Opened < silentGrace
+		isNew := !c.hasSent && now-c.conn.OpenedAt < silentGrace
 		if c.betweenRequests() && !isNew && c.conn.AllRead() {
 			c.closeGracefully()
 		}
--- a/internal/httpfront/errors.go
+++ b/internal/httpfront/errors.go
@@ -22,5 +22,5 @@
 	case errors.Is(err, errMemoryExhausted), errors.Is(err, errLimitExceeded), errors.Is(err, errShuttingDown):
 		return httpwire.StatusServiceUnavailable
 	}
-	return httpwire.StatusOf(err)
+	return httpwire.StatusForError(err)
 }
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -41,7 +41,7 @@
 // are spared, because a close that crosses the first request of a connection loses that request.
 func (f *FrontEnd) evictSilent() {
 	for f.gate.Limiter.TooManySilent() {
-		candidate, found := f.gate.EvictionCandidate(connlimit.ForSilence, connlimit.Spared{Single: f.hasUnreadRequest})
+		candidate, found := f.gate.EvictionCandidate(connlimit.ForSilence, connlimit.Spared{Match: f.hasUnreadRequest})
 		if !found {
 			f.loop().Set(&f.eviction.silenceTimer, f.loop().Now()+silenceInterval)
 			return
@@ -61,7 +61,7 @@
 // been accepted. If there is no connection to evict, connections are closed after their next responses.
 func (f *FrontEnd) evictForCapacity() {
 	spareProven := f.listenerShared // the process that shares the listener can accept the new connections
-	spared := connlimit.Spared{Proven: spareProven, Single: f.hasUnreadRequest}
+	spared := connlimit.Spared{Proven: spareProven, Match: f.hasUnreadRequest}
 	for evicted := range evictionsPerCall {
 		candidate, found := f.gate.EvictionCandidate(connlimit.ForUnknown, spared)
 		if !found {
@@ -110,7 +110,7 @@
 			chosen = connection
 			return false
 		}
-		_, found := f.gate.EvictionCandidate(connlimit.ForMemory, connlimit.Spared{Single: spare})
+		_, found := f.gate.EvictionCandidate(connlimit.ForMemory, connlimit.Spared{Match: spare})
 		if !found {
 			return
 		}
--- a/internal/httpfront/frontend.go
+++ b/internal/httpfront/frontend.go
@@ -113,7 +113,7 @@
 	}
 	connection := newClientConnection(f, conn)
 	connection.token = f.connections.Insert(connection)
-	connection.limiterID = f.gate.Accepted(frontEndNumber, connection.token, conn.AdmissionToken)
+	connection.limiterID = f.gate.RegisterConnection(frontEndNumber, connection.token, conn.AdmissionToken)
 	f.eviction.capacityExhausted = false
 	f.eviction.provenSparedUntil = 0
 	if f.gate.Enabled() {
@@ -132,8 +132,8 @@
 	}
 }
 
-// SetShared sets whether another process accepts on the same listener.
-func (f *FrontEnd) SetShared(shared bool) { f.listenerShared = shared }
+// SetListenerShared sets whether another process accepts on the same listener.
+func (f *FrontEnd) SetListenerShared(shared bool) { f.listenerShared = shared }
 
 // SetMemoryLimit sets how many bytes the buffers may take up from now on.
 func (f *FrontEnd) SetMemoryLimit(limit int) { f.memoryLimit = limit }
--- a/internal/httpfront/input.go
+++ b/internal/httpfront/input.go
@@ -55,7 +55,7 @@
 		if count == maxRequestsPerTurn {
 			c.postRead()
 			if c.frontEnd.gate.Enabled() {
-				c.frontEnd.gate.Limiter.CountReason(connlimit.Greedy)
+				c.frontEnd.gate.Limiter.CountReason(connlimit.MemoryShareExceeded)
 			}
 			return nil
 		}
--- a/internal/httpfront/proxyheader.go
+++ b/internal/httpfront/proxyheader.go
@@ -22,7 +22,7 @@
 		return
 	}
 	if !header.Complete() {
-		frontEnd.loop().Set(&c.timer, c.conn.Opened+firstRequestTimeout)
+		frontEnd.loop().Set(&c.timer, c.conn.OpenedAt+firstRequestTimeout)
 		return
 	}
 	c.awaitsProxyHeader = false
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -61,7 +61,7 @@
 	c.incoming.deadline = now + requestTimeout
 	if !c.hasSent {
 		c.hasSent = true
-		firstDeadline := max(c.conn.Opened+firstRequestTimeout, now+lateRequestTimeout)
+		firstDeadline := max(c.conn.OpenedAt+firstRequestTimeout, now+lateRequestTimeout)
 		c.incoming.deadline = min(c.incoming.deadline, firstDeadline)
 	}
 	checkAt := c.incoming.deadline
@@ -100,7 +100,7 @@
 			frontEnd.loop().Set(&c.timer, min(c.incoming.deadline, max(nextCheck, now+minRateInterval)))
 			return
 		}
-		c.reportAbuse(connlimit.Slow)
+		c.reportAbuse(connlimit.SlowRequest)
 	}
 	c.reject(errRequestTimeout)
 }
@@ -139,7 +139,7 @@
 	case c.response.pending || c.conn.SentBytes() > c.stall.sentBefore:
 		c.watchStall()
 	default:
-		c.reportAbuse(connlimit.Stalled)
+		c.reportAbuse(connlimit.ResponsesUnread)
 		c.closeNow()
 	}
 }
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -147,20 +147,20 @@
 	return Complete, nil
 }
 
-// Call holds the parts of a request that the admin API needs. They are copies, independent of the parsed buffer.
-type Call struct{ Method, Path, Query string }
+// RequestLine holds the parts of a request that the admin API needs. They are copies, independent of the parsed buffer.
+type RequestLine struct{ Method, Path, Query string }
 
-// CallReader reads one request to the admin API, whose bytes may arrive in pieces. Its zero value is ready for use.
-type CallReader struct{ state ScanState }
+// RequestLineReader reads one request to the admin API, whose bytes may arrive in pieces. Its zero value is ready for use.
+type RequestLineReader struct{ state ScanState }
 
 // Read parses the request at the start of b, which holds all bytes received so far. It returns false without an error
 // while b holds only a part of the request.
-func (r *CallReader) Read(b []byte) (Call, bool, error) {
+func (r *RequestLineReader) Read(b []byte) (RequestLine, bool, error) {
 	var message Message
 	progress, err := ParseRequest(b, &message, &r.state)
 	if progress != Complete || err != nil {
-		return Call{}, false, err
+		return RequestLine{}, false, err
 	}
 	path, query, _ := bytes.Cut(message.Target(), []byte("?"))
-	return Call{Method: string(message.Method()), Path: string(path), Query: string(query)}, true, nil
+	return RequestLine{Method: string(message.Method()), Path: string(path), Query: string(query)}, true, nil
 }
--- a/internal/httpwire/status.go
+++ b/internal/httpwire/status.go
@@ -38,8 +38,8 @@
 	StatusServiceUnavailable:          "Service Unavailable",
 }
 
-// StatusOf returns the status code of the response to a message that could not be parsed because of err.
-func StatusOf(err error) int {
+// StatusForError returns the status code of the response to a message that could not be parsed because of err.
+func StatusForError(err error) int {
 	switch {
 	case errors.Is(err, ErrBodyTooLong):
 		return StatusContentTooLarge
--- a/internal/invariant/claim.go
+++ b/internal/invariant/claim.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Reported is the furthest progress of an attempt that a worker client has reported so far.
-type Reported uint8
+// ReportedProgress is the furthest progress of an attempt that a worker client has reported so far.
+type ReportedProgress uint8
 
 // The progress that may have been reported.
 const (
-	NothingReported Reported = iota
-	SentReported             // its last byte was sent
-	StartReported            // its worker has begun to run it
+	NothingReported ReportedProgress = iota
+	SentReported                     // its last byte was sent
+	StartReported                    // its worker has begun to run it
 )
 
 // String describes the reported progress, as it is written in logs.
-func (r Reported) String() string {
+func (r ReportedProgress) String() string {
 	return [...]string{"nothing was reported", "its last byte was reported as sent", "its worker was reported to run it"}[r]
 }
 
@@ -33,12 +33,12 @@
 // Evidence supports a claim: the state of the connection to which the attempt was assigned. Offsets are counted in
 // bytes from the beginning of the connection.
 type Evidence struct {
-	Connection string // phase of the connection's current exchange
-	Sending    string // kind of the connection's latest request
-	LocalPort  int    // 0 if the connection was never opened
-	RequestEnd int64  // offset after the last byte of the latest request
-	Written    int64  // offset after the last byte that was written to the connection
-	Flushed    int64  // offset after the last byte that the kernel has accepted
+	Connection  string // phase of the connection's current exchange
+	RequestKind string // kind of the connection's latest request
+	LocalPort   int    // 0 if the connection was never opened
+	RequestEnd  int64  // offset after the last byte of the latest request
+	Written     int64  // offset after the last byte that was written to the connection
+	Flushed     int64  // offset after the last byte that the kernel has accepted
 }
 
 // Claim is a worker client's statement that an attempt was never sent, so that another attempt may be sent.
@@ -55,7 +55,7 @@
 func (c Claim) String() string {
 	e := c.Evidence
 	return fmt.Sprintf("at %v: attempt %d to %s %s as never sent; connection %s, sending %s, local port %d, request ends at %d, written %d, flushed %d",
-		c.At, c.Attempt, c.Worker, c.Kind, e.Connection, e.Sending, e.LocalPort, e.RequestEnd, e.Written, e.Flushed)
+		c.At, c.Attempt, c.Worker, c.Kind, e.Connection, e.RequestKind, e.LocalPort, e.RequestEnd, e.Written, e.Flushed)
 }
 
 // maxClaims is how many claims a ClaimLog holds: those of several minutes, if only few attempts are never sent.
@@ -77,8 +77,8 @@
 	l.next = (l.next + 1) % maxClaims
 }
 
-// Of returns the claims about the attempts of one request, the oldest first.
-func (l *ClaimLog) Of(request string) (found []Claim) {
+// ForRequest returns the claims about the attempts of one request, the oldest first.
+func (l *ClaimLog) ForRequest(request string) (found []Claim) {
 	for i := range l.claims {
 		claim := l.claims[(l.next+i)%len(l.claims)]
 		if claim.Request == request {
--- a/internal/invariant/claim_test.go
+++ b/internal/invariant/claim_test.go
@@ -13,7 +13,7 @@
 	for i := range added {
 		log.Add(Claim{At: time.Duration(i), Request: fmt.Sprint("r", i%2), Attempt: i})
 	}
-	found := log.Of("r1")
+	found := log.ForRequest("r1")
 	if len(found) != maxClaims/2 {
 		t.Fatalf("%d claims of one of two requests, want %d", len(found), maxClaims/2)
 	}
@@ -22,7 +22,7 @@
 			t.Fatalf("claim %d is of attempt %d, want %d", i, claim.Attempt, want)
 		}
 	}
-	if len(log.Of("r2")) > 0 {
+	if len(log.ForRequest("r2")) > 0 {
 		t.Error("claims were found for a request without claims")
 	}
 }
@@ -30,8 +30,8 @@
 // Guards against believing a claim that an attempt was never sent after a report that it was sent or started.
 func TestCheckNeverSentCountsContradictions(t *testing.T) {
 	var guard Guard
-	for reported, want := range map[Reported]bool{NothingReported: true, SentReported: false, StartReported: false} {
-		if got := guard.CheckNeverSent(reported, "attempt"); got != want {
+	for reported, want := range map[ReportedProgress]bool{NothingReported: true, SentReported: false, StartReported: false} {
+		if got := guard.CheckNeverSentClaim(reported, "attempt"); got != want {
 			t.Errorf("after %v: believed %v, want %v", reported, got, want)
 		}
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -13,7 +13,7 @@
 
 // The rules.
 const (
-	None          Rule = iota // no rule is broken
+	NoRule        Rule = iota // no rule is broken
 	Drain                     // nothing is sent to a draining or removed worker after its grace period
 	ListStale                 // nothing is sent while the endpoint list that names the worker may be stale
 	Deadline                  // nothing is sent after the client has given up
@@ -30,7 +30,7 @@
 
 // ruleNames are used as keys in the JSON of the admin API.
 var ruleNames = [numRules]string{
-	None:          "none",
+	NoRule:        "none",
 	Drain:         "drain",
 	ListStale:     "old_list",
 	Deadline:      "deadline",
@@ -64,7 +64,7 @@
 	case s.ListStale:
 		return ListStale
 	}
-	return None
+	return NoRule
 }
 
 // Start describes an attempt that is about to be started. Times are those of the dispatcher's clock.
@@ -86,7 +86,7 @@
 	case s.NonIdempotent && s.MayHaveRun:
 		return Duplicate
 	}
-	return None
+	return NoRule
 }
 
 // Guard checks the rules, and counts the actions that it prevented and the violations that happened nevertheless. The
@@ -110,8 +110,8 @@
 
 // prevent counts an action that is prevented because it would break the rule. With None it allows the action.
 func (g *Guard) prevent(rule Rule) (broken Rule, allowed bool) {
-	if rule == None {
-		return None, true
+	if rule == NoRule {
+		return NoRule, true
 	}
 	g.prevented[rule]++
 	return rule, false
@@ -127,9 +127,9 @@
 	return kept
 }
 
-// CheckNeverSent checks a claim that an attempt was never sent against what was reported about the attempt before. It
+// CheckNeverSentClaim checks a claim that an attempt was never sent against what was reported about the attempt before. It
 // returns whether the claim may be believed: it may not if the attempt was reported as sent or started.
-func (g *Guard) CheckNeverSent(reported Reported, subject string) (believed bool) {
+func (g *Guard) CheckNeverSentClaim(reported ReportedProgress, subject string) (believed bool) {
 	if reported == NothingReported {
 		return true
 	}
@@ -147,7 +147,7 @@
 
 // check counts and reports a broken rule. It returns true if the rule is None.
 func (g *Guard) check(rule Rule, subject string) (kept bool) {
-	if rule == None {
+	if rule == NoRule {
 		return true
 	}
 	g.violated[rule]++
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -24,11 +24,11 @@
 		change func(*Send)
 		want   Rule
 	}{
-		"allowed":                    {func(*Send) {}, None},
-		"draining, within the grace": {leaving(9500 * millisecond), None},
+		"allowed":                    {func(*Send) {}, NoRule},
+		"draining, within the grace": {leaving(9500 * millisecond), NoRule},
 		"draining, beyond the grace": {leaving(9499 * millisecond), Drain},
 		"at its deadline":            {func(s *Send) { s.Deadline = 10 * second }, Deadline},
-		"repeat before RetryBy":      {func(s *Send) { s.RetryBy = 11 * second }, None},
+		"repeat before RetryBy":      {func(s *Send) { s.RetryBy = 11 * second }, NoRule},
 		"repeat at RetryBy":          {func(s *Send) { s.RetryBy = 10 * second }, DedupWindow},
 		"stale endpoint list":        {func(s *Send) { s.ListStale = true }, ListStale},
 	} {
@@ -36,11 +36,11 @@
 			var guard Guard
 			send := Send{Now: 10 * second, Deadline: 12 * second}
 			c.change(&send)
-			if rule, ok := guard.MaySend(send); rule != c.want || ok != (c.want == None) {
+			if rule, ok := guard.MaySend(send); rule != c.want || ok != (c.want == NoRule) {
 				t.Errorf("rule %v, allowed %v; want %v", rule, ok, c.want)
 			}
 			want := Counts{}
-			if c.want != None {
+			if c.want != NoRule {
 				want[c.want.String()] = 1
 			}
 			if got := guard.Prevented(); !maps.Equal(got, want) {
@@ -55,15 +55,15 @@
 		start Start
 		want  Rule
 	}{
-		{Start{Now: second, Deadline: 2 * second}, None},
-		{Start{Now: second, Deadline: 2 * second, MayHaveRun: true}, None},
-		{Start{Now: second, Deadline: 2 * second, NonIdempotent: true}, None},
+		{Start{Now: second, Deadline: 2 * second}, NoRule},
+		{Start{Now: second, Deadline: 2 * second, MayHaveRun: true}, NoRule},
+		{Start{Now: second, Deadline: 2 * second, NonIdempotent: true}, NoRule},
 		{Start{Now: second, Deadline: 2 * second, NonIdempotent: true, MayHaveRun: true}, Duplicate},
 		{Start{Now: second, Deadline: 2 * second, Answered: true}, Answered},
 		{Start{Now: 2 * second, Deadline: 2 * second}, Deadline},
 	} {
 		var guard Guard
-		if rule, ok := guard.MayStart(c.start); rule != c.want || ok != (c.want == None) {
+		if rule, ok := guard.MayStart(c.start); rule != c.want || ok != (c.want == NoRule) {
 			t.Errorf("%+v: rule %v, allowed %v; want %v", c.start, rule, ok, c.want)
 		}
 	}
--- a/internal/listener/bench_test.go
+++ b/internal/listener/bench_test.go
@@ -91,7 +91,7 @@
 	}
 	newHandler := func(c *transport.Conn) transport.Handler {
 		accepted.Add(1)
-		gate.Limiter.Closed(gate.Accepted(0, c.Handle, c.AdmissionToken))
+		gate.Limiter.Closed(gate.RegisterConnection(0, c.Handle, c.AdmissionToken))
 		return nil
 	}
 	return engine.ServeWithAdmission(listener, transport.AcceptOptions{NewHandler: newHandler, SingleBuffer: true})
--- a/internal/listener/frontend.go
+++ b/internal/listener/frontend.go
@@ -29,11 +29,11 @@
 // of its connections.
 func (g *Gate) AddFrontEnd(number int, frontEnd FrontEnd) { g.frontEnds[number] = frontEnd }
 
-// Accepted records that the front end with a number has got a connection, which it
+// RegisterConnection records that the front end with a number has got a connection, which it
 // identifies by its own token, and returns the connection's ID in the Limiter.
 // admissionToken is that of the transport.Conn, which is 0 if the connection was
 // accepted without Admit.
-func (g *Gate) Accepted(number int, token uint64, admissionToken transport.AdmissionToken) connlimit.ID {
+func (g *Gate) RegisterConnection(number int, token uint64, admissionToken transport.AdmissionToken) connlimit.ID {
 	if admissionToken == 0 {
 		return g.Limiter.Adopt(g.loop.Now(), limiterToken(number, token))
 	}
--- a/internal/listener/rejectlog_test.go
+++ b/internal/listener/rejectlog_test.go
@@ -19,7 +19,7 @@
 	addr := netip.MustParseAddr("10.0.0.1")
 	for range 500 {
 		gate.LogRejection(connlimit.AddressOpen, addr)
-		gate.LogRejection(connlimit.Slow, addr)
+		gate.LogRejection(connlimit.SlowRequest, addr)
 	}
 	lines := strings.Count(out.String(), "\n")
 	if lines != 2 {
--- a/internal/rehearsal/simulator/scenario.go
+++ b/internal/rehearsal/simulator/scenario.go
@@ -208,7 +208,7 @@
 		ConnectTimeout:     250 * time.Millisecond,
 		StartNotices:       true,
 		StartsInOrder:      true,
-		FreeSlots:          "x0",
+		FreeSlotsField:     "x0",
 		DrainGrace:         500 * time.Millisecond,
 	}
 	for _, scenarioClass := range s.Classes {
--- a/internal/settings/connections.go
+++ b/internal/settings/connections.go
@@ -173,11 +173,11 @@
 
 func (c *Connections) learning() connlimit.LearnConfig {
 	return connlimit.LearnConfig{
-		Enabled:  c.Learn,
-		HalfLife: seconds(c.LearnHalfLifeSeconds),
-		After:    c.LearnAfterJobs,
-		Share:    c.LearnShare,
-		Newcomer: c.NewcomerShare,
+		Enabled:      c.Learn,
+		HalfLife:     seconds(c.LearnHalfLifeSeconds),
+		MinScore:     c.LearnAfterJobs,
+		ReserveShare: c.LearnShare,
+		UnknownShare: c.NewcomerShare,
 	}
 }
 
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		settings.FreeSlots = freeSlots
+		settings.FreeSlotsField = freeSlots
 		for _, text := range reports {
 			load := ReadLoadReport(&settings, []byte(text))
 			lines = append(lines, fmt.Sprintf("%q %s: %s", freeSlots, text, goldentest.Values(load)))
--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -56,7 +56,7 @@
 
 func (f settingField) set(value float64) {
 	if f.duration != nil {
-		*f.duration = Microseconds(value)
+		*f.duration = DurationFromMicroseconds(value)
 		return
 	}
 	*f.number = value
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -16,8 +16,8 @@
 		return decision.LoadReport{}
 	}
 	var load decision.LoadReport
-	if settings.FreeSlots != "" {
-		load.FreeSlots, load.HasFreeSlots = firstNumber(report, settings.FreeSlots)
+	if settings.FreeSlotsField != "" {
+		load.FreeSlots, load.HasFreeSlots = firstNumber(report, settings.FreeSlotsField)
 	}
 	load.Outstanding, load.HasOutstanding = firstNumber(report, "outstanding", "inflight")
 	load.Backlog, load.HasBacklog = firstNumber(report, "backlog", "queue")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -45,9 +45,9 @@
 // so that the sum of a few of them does not overflow.
 const maxMicroseconds = float64(math.MaxInt64 / 4000)
 
-// Microseconds converts a number of microseconds, which may have a fraction, to a
+// DurationFromMicroseconds converts a number of microseconds, which may have a fraction, to a
 // time.Duration of whole microseconds. Values out of range are clamped.
-func Microseconds(number float64) time.Duration {
+func DurationFromMicroseconds(number float64) time.Duration {
 	return time.Duration(min(max(number, -maxMicroseconds), maxMicroseconds)) * time.Microsecond
 }
 
@@ -119,7 +119,7 @@
 		ZoneNames:             w.ZoneNames,
 		KindNames:             w.KindNames,
 		DrainGrace:            w.Rules.DrainGrace.duration(),
-		FreeSlots:             w.Domain.freeSlots(),
+		FreeSlotsField:        w.Domain.freeSlots(),
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	settings, err := Read([]byte(`{"new":1,"classes":[{"name":"renewal","repeat":"fragile","deadline_us":8e6}],"domain":{"report_x1":"free slots"}}`))
-	if err != nil || settings.Classes[0].Name != "renewal" || settings.Classes[0].Deadline.Seconds() != 8 || settings.FreeSlots != "x1" {
+	if err != nil || settings.Classes[0].Name != "renewal" || settings.Classes[0].Deadline.Seconds() != 8 || settings.FreeSlotsField != "x1" {
 		t.Errorf("%+v, %v", settings, err)
 	}
 }
@@ -30,7 +30,7 @@
 // Checks that a load report may use either set of names for its values, and that an
 // invalid report counts as empty.
 func TestReadLoadReport(t *testing.T) {
-	settings := decision.Settings{FreeSlots: "x0"}
+	settings := decision.Settings{FreeSlotsField: "x0"}
 	full := decision.LoadReport{
 		FreeSlots:      1.5,
 		HasFreeSlots:   true,
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -5,7 +5,7 @@
 // microseconds is a duration in the settings object. It may have a fraction.
 type microseconds float64
 
-func (m microseconds) duration() time.Duration { return Microseconds(float64(m)) }
+func (m microseconds) duration() time.Duration { return DurationFromMicroseconds(float64(m)) }
 
 // wireSettings is the settings object. Numbers that are used as integers are decoded
 // as floats, since senders write them with or without a fraction.
--- a/internal/simwire/field.go
+++ b/internal/simwire/field.go
@@ -48,5 +48,5 @@
 // readSpan returns a span that is given in microseconds, which may have a fraction, or 0 if it is
 // absent.
 func readSpan(object *fastjson.Value, name string) time.Duration {
-	return settings.Microseconds(object.GetFloat64(name))
+	return settings.DurationFromMicroseconds(object.GetFloat64(name))
 }
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	message.Settings = read
-	d.freeSlotsNames[message.Instance] = read.FreeSlots
+	d.freeSlotsNames[message.Instance] = read.FreeSlotsField
 	return nil
 }
 
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -127,7 +127,7 @@
 		ProgressInterval:      time.Second,
 		CrossZoneCost:         0.03,
 		ZoneNames:             []string{"a", "b"},
-		FreeSlots:             "x0",
+		FreeSlotsField:        "x0",
 		DrainGrace:            500 * time.Millisecond,
 	}
 }
--- a/internal/testkit/rig.go
+++ b/internal/testkit/rig.go
@@ -87,7 +87,7 @@
 		MaxRetryAfter:         time.Second,
 		ConnectTimeout:        2 * time.Second,
 		ConnectionIdleTimeout: 10 * time.Second,
-		FreeSlots:             "x0",
+		FreeSlotsField:        "x0",
 		ZoneNames:             []string{"here"},
 	}
 }
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -13,9 +13,9 @@
 	lingerTimeout  = time.Second          // longest time for which CloseGracefully waits for the peer
 	lingerInterval = 5 * time.Millisecond // time between reads of bytes that are discarded
 
-	// LingerTime is the longest time for which the socket of an ended connection stays
+	// MaxLingerTime is the longest time for which the socket of an ended connection stays
 	// open.
-	LingerTime = lingerTimeout + 2*shutdownTimeout
+	MaxLingerTime = lingerTimeout + 2*shutdownTimeout
 
 	// abortAttempts is the maximum number of attempts to set SO_LINGER, since
 	// setsockopt(2) may fail temporarily.
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -28,7 +28,7 @@
 type Conn struct {
 	Handle         uint64 // handle of the connection's slot; 0 before it is open and after it is closed
 	Handler        Handler
-	Opened         time.Duration  // clock time at which the connection was opened
+	OpenedAt       time.Duration  // clock time at which the connection was opened
 	AdmissionToken AdmissionToken // 0 if the connection did not need an admission
 
 	engine     *Engine
@@ -99,7 +99,7 @@
 	newHandler := c.newHandler
 	c.newHandler = nil // so that the connection does not keep alive what the function refers to
 	c.takeSlot()
-	c.Opened = c.engine.Loop.Now()
+	c.OpenedAt = c.engine.Loop.Now()
 	c.Handler = newHandler(c)
 	if c.Handler == nil {
 		c.Handler = discardHandler{&c.engine.Pool}
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -26,8 +26,8 @@
 	nbioTableMargin = 4096
 )
 
-// AcceptedShare returns how many of the given number of descriptors accepted connections may use.
-func AcceptedShare(descriptors int) int {
+// AcceptedDescriptors returns how many of the given number of descriptors accepted connections may use.
+func AcceptedDescriptors(descriptors int) int {
 	return int(acceptedFraction * float64(ConnectionDescriptors(descriptors)))
 }
 
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -62,7 +62,7 @@
 // NewEngine starts an engine that uses at most the given number of descriptors. It
 // returns an error if epoll_create(2) or another system call fails when nbio starts.
 func NewEngine(loop *eventloop.Loop, descriptors int) (*Engine, error) {
-	accepted := AcceptedShare(descriptors)
+	accepted := AcceptedDescriptors(descriptors)
 	engine := &Engine{
 		Loop:        loop,
 		descriptors: descriptors,
--- a/internal/workerclient/claim.go
+++ b/internal/workerclient/claim.go
@@ -9,9 +9,9 @@
 		return
 	}
 	evidence := invariant.Evidence{
-		Connection: c.state.String(),
-		Sending:    c.describeRequest(),
-		RequestEnd: c.request.end,
+		Connection:  c.state.String(),
+		RequestKind: c.describeRequest(),
+		RequestEnd:  c.request.end,
 	}
 	if c.conn != nil {
 		evidence.LocalPort = c.conn.LocalPort()
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -46,7 +46,7 @@
 		lastByteDelay: defaultLastByteDelay,
 		reuseDelay:    defaultReuseDelay,
 	}
-	registry.Attach(client)
+	registry.SetWorkerClient(client)
 	dispatcher.AddSource(client)
 	return client
 }
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -101,7 +101,7 @@
 	}
 	c.claimNeverSent(invariant.ClaimMoved)
 	c.unassign()
-	if !c.client.dispatcher.MayMove(handle) {
+	if !c.client.dispatcher.MayResend(handle) {
 		return
 	}
 	other := c.client.acquire(c.worker, c.attempt.RetryUnsafe)
--- a/internal/workerclient/dial_test.go
+++ b/internal/workerclient/dial_test.go
@@ -18,10 +18,10 @@
 		descriptors    = 64
 		ownDescriptors = 24 // those of the descriptors that are used neither for clients nor for workers
 	)
-	maxDials := descriptors - ownDescriptors - transport.AcceptedShare(descriptors)
+	maxDials := descriptors - ownDescriptors - transport.AcceptedDescriptors(descriptors)
 	rig := testkit.NewRig(t).WithSubscription(t, 1, 10*time.Second)
 	rig.LimitDescriptors(t, descriptors)
-	startFrontEnd(t, rig, transport.AcceptedShare(descriptors))
+	startFrontEnd(t, rig, transport.AcceptedDescriptors(descriptors))
 	otherWorker := testkit.NewScriptedWorker(t)
 	otherWorker.SetScripts(slices.Repeat([]string{testkit.LoadResponse}, maxDials)...)
 	worker := testkit.NewScriptedWorker(t)
--- a/internal/workerclient/healthcheck.go
+++ b/internal/workerclient/healthcheck.go
@@ -78,7 +78,7 @@
 		c.release()
 		return
 	}
-	c.client.registry.HealthConfirmed(c.worker, c.request.sentAt)
+	c.client.registry.HealthCheckPassed(c.worker, c.request.sentAt)
 	if c.client.dispatcher.ClientGone(handle) { // the dispatcher has cancelled the attempt
 		return
 	}
@@ -104,6 +104,6 @@
 
 // rejectUnconfirmed ends an attempt whose worker did not respond to the preceding health check, or not with status 200.
 func (c *connection) rejectUnconfirmed() {
-	c.client.registry.HealthDenied(c.worker)
+	c.client.registry.HealthCheckFailed(c.worker)
 	c.complete(attemptResult{outcome: decision.NotSent})
 }
