--- a/decision/ceilings.go
+++ b/decision/ceilings.go
@@ -7,8 +7,7 @@
 
 // Two ceilings limit what is sent. The concurrency ceiling limits the slots in flight; a token bucket limits
 // the work sent over time. Both are learned per ready worker: each request served in time raises the ceilings
-// that are more than half used or have a price, and bad outcomes cut them. The values were inherited with the
-// decision machine.
+// that are more than half used or have a price, and bad outcomes cut them.
 const (
 	initialSlotsPerWorker = 8.0  // initial value of both ceilings per worker, summed over all dispatchers
 	ceilingFloorRatio     = 0.25 // no ceiling is cut below this fraction of its initial value
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -8,7 +8,7 @@
 // After a failed call for the endpoint list, the next call follows after a backoff, from a twentieth of
 // ListPollInterval up to half of it. If there are many dispatchers, all calls are also spread over time, so
 // that a list service that answers seven calls a second keeps up, and three calls that fail still fit into
-// ListPollInterval. This was measured with 36 and 300 dispatchers.
+// ListPollInterval, with 36 as with 300 dispatchers.
 const (
 	minListBackoffDivisor  = 20    // the smallest backoff is ListPollInterval divided by this
 	maxListBackoffDivisor  = 2     // the largest backoff is ListPollInterval divided by this
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -175,7 +175,7 @@
 }
 
 // A worker that gets only requests that must not run twice does not stay ejected forever.
-func TestFailureScoreFades(t *testing.T) {
+func TestFailureScoreDecays(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	id := rig.arrive(1)
 	bad := rig.workers[rig.assignedTo(id)]
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -7,16 +7,13 @@
 
 // A pick draws workers at random until two can take the request, and chooses the one with the shorter
 // expected delay (power of two choices). It draws from the dispatcher's subset first: a dispatcher that
-// spread few requests over a large fleet would have no recent knowledge of any worker.
-//
-// The values were inherited with the decision machine. unknownWorkerWaits and zoneCostWeight were chosen by
-// the mean score of simulated runs; defaultOwnerBias was added later.
+// spread few requests over a large fleet would have no recent report of any worker.
 const (
 	maxWarmDraws            = 32               // warm workers examined for one pick, to limit its cost
 	maxWarmingUpDraws       = 4 * maxWarmDraws // workers in slow start examined; few of them have budget
 	subsetRequestsPerWorker = 2                // recent requests for each worker of the subset
 	minSubsetSize           = 4
-	unknownWorkerWaits      = 4   // expected wait at a worker without recent knowledge, in mean waits
+	unknownWorkerWaits      = 4   // expected wait at a worker without a recent report, in mean waits
 	zoneCostWeight          = 4   // own-zone bias: fraction of the time left per unit of CrossZoneCost
 	cacheMissCostWeight     = 4   // owner bias: fraction of the time left per unit of CacheMissCost
 	defaultOwnerBias        = 0.1 // smallest owner bias, since a miss takes time even without CacheMissCost
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -44,7 +44,7 @@
 // Confidence in the report of a worker decays: a worker without a recent report counts as loaded like the
 // mean. Otherwise workers without reports would look idle and get a third of all requests, which would wait
 // there.
-func TestKnowledgeOfWorkersFades(t *testing.T) {
+func TestConfidenceInReportsDecays(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
 	for _, test := range []struct {
--- a/decision/saturation.go
+++ b/decision/saturation.go
@@ -3,7 +3,7 @@
 import "time"
 
 // saturatedLatencyFraction is the fraction of the mean latency for which a saturated worker gets no
-// requests. It was inherited with the decision machine.
+// requests.
 const saturatedLatencyFraction = 0.25
 
 // classRejections records a worker's rejections of requests of one class.
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -28,8 +28,8 @@
 	slowStartMaxRequestFraction = 0.31
 	slowStartMaxRequestMeans    = 2
 	// smallHintCorrection determines how much a hint below the mean of its class is raised, namely to
-	// hint + smallHintCorrection*(mean-hint). In a rehearsal with imprecise hints, requests that were chosen
-	// for their small hints were measured to run for many times the hinted time.
+	// hint + smallHintCorrection*(mean-hint). With imprecise hints, requests that are picked
+	// for their small hints run for many times the hinted time.
 	smallHintCorrection = 0.25
 	// clockError is how far the clock of this machine may have been ahead when the process started. Clocks
 	// are stepped by seconds or by an hour.
--- a/decision/zone.go
+++ b/decision/zone.go
@@ -7,8 +7,8 @@
 
 const (
 	// unreachableZoneConnects is the number of failed connects in a row from which a zone counts as
-	// unreachable. In a rehearsal of 80 dispatchers without this rule, each of them ran into a connect
-	// timeout at each worker of an unreachable zone.
+	// unreachable. With 80 dispatchers and without this rule, each of them ran into a connect timeout
+	// at each worker of an unreachable zone.
 	unreachableZoneConnects = 2
 	// maxTrialDoublings bounds how often the interval between trials of an unreachable zone is doubled.
 	maxTrialDoublings = 8
--- a/internal/connlimit/config.go
+++ b/internal/connlimit/config.go
@@ -10,17 +10,17 @@
 
 // Defaults of Config.
 const (
-	defaultGrace          = time.Second
-	defaultSilentTime     = 2500 * time.Millisecond
-	defaultRateGrace      = 500 * time.Millisecond
-	defaultLearnHalfLife  = 10 * time.Minute
-	defaultLearnAfter     = 20
-	defaultLearnShare     = 0.5
-	defaultNewcomerShare  = 0.1
-	defaultV4Bits         = 24
-	defaultV6Bits         = 64
-	defaultAddressEntries = 16384
-	defaultPrefixEntries  = 4096
+	defaultGrace              = time.Second
+	defaultCrowdedSilentGrace = 2500 * time.Millisecond
+	defaultRateGrace          = 500 * time.Millisecond
+	defaultLearnHalfLife      = 10 * time.Minute
+	defaultLearnMinScore      = 20
+	defaultReserveShare       = 0.5
+	defaultUnknownShare       = 0.1
+	defaultV4Bits             = 24
+	defaultV6Bits             = 64
+	defaultAddressEntries     = 16384
+	defaultPrefixEntries      = 4096
 )
 
 const (
@@ -114,16 +114,16 @@
 func (c *Config) setDefaults() {
 	setDefault(&c.Grace, defaultGrace)
 	setDefault(&c.SilentGrace, c.Grace)
-	setDefault(&c.CrowdedSilentGrace, defaultSilentTime)
+	setDefault(&c.CrowdedSilentGrace, defaultCrowdedSilentGrace)
 	setDefault(&c.RateGrace, defaultRateGrace)
 	setDefault(&c.V4Bits, defaultV4Bits)
 	setDefault(&c.V6Bits, defaultV6Bits)
 	setDefault(&c.Addresses, defaultAddressEntries)
 	setDefault(&c.Prefixes, defaultPrefixEntries)
 	setDefault(&c.Learn.HalfLife, defaultLearnHalfLife)
-	setDefault(&c.Learn.MinScore, defaultLearnAfter)
-	setDefault(&c.Learn.ReserveShare, defaultLearnShare)
-	setDefault(&c.Learn.UnknownShare, defaultNewcomerShare)
+	setDefault(&c.Learn.MinScore, defaultLearnMinScore)
+	setDefault(&c.Learn.ReserveShare, defaultReserveShare)
+	setDefault(&c.Learn.UnknownShare, defaultUnknownShare)
 }
 
 // setDefault sets a field to a value if it has the zero value.
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -34,7 +34,7 @@
 	Match  func(Token) bool // if not nil, spares the connections for which it returns true
 }
 
-// spares reports whether Single spares a connection.
+// spares reports whether Match spares a connection.
 func (s Spared) spares(connection *conn) bool { return s.Match != nil && s.Match(connection.token) }
 
 // EvictionCandidate returns the connection to be evicted next, or false if there is
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -134,7 +134,7 @@
 
 // Discovery moves during the backoff after a failed call, and the first call to the new address fails too. What was
 // scheduled for the former address neither delays nor duplicates a call.
-func TestMoveToAfterOutage(t *testing.T) {
+func TestChangeAddressAfterOutage(t *testing.T) {
 	rig := testkit.NewRig(t).WithSubscription(t, 300, time.Hour)
 	former, formerCalls := listenForCalls(t)
 	next, nextCalls := listenForCalls(t)
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -20,35 +20,35 @@
 //     again.
 //   - unknown otherwise. All workers are suspended. They are resumed when the list is current or unconfirmed again.
 //
-// A suspended worker stays in the list, and the dispatcher sends it nothing. currentKnowledge lists the cases in which
+// A suspended worker stays in the list, and the dispatcher sends it nothing. currentState lists the cases in which
 // the list does not become stale, and in which unconfirmed counts as current. Package freshness defines the rules in
 // detail.
 type listFreshness struct {
 	tracker   freshness.Tracker  // when the source confirmed the list, and how calls to it have ended since
-	knowledge freshness.State    // the result of the last Refresh, by which workers are suspended
-	timer     eventloop.Deadline // fires when the knowledge may change because time has passed
+	state     freshness.State    // the result of the last Refresh, by which workers are suspended
+	timer     eventloop.Deadline // fires when the state may change because time has passed
 	wasUsable bool               // a published list has been current or unconfirmed at some time since the start
 }
 
 // Refresh evaluates how fresh the list is now, and suspends or resumes workers if that has changed.
 func (r *Registry) Refresh() {
-	knowledge := r.currentKnowledge()
-	if !r.initial.withheld() && knowledge != freshness.Unknown {
+	state := r.currentState()
+	if !r.initial.withheld() && state != freshness.Unknown {
 		r.freshness.wasUsable = true
 	}
-	if knowledge == r.freshness.knowledge {
+	if state == r.freshness.state {
 		return
 	}
-	r.freshness.knowledge = knowledge
-	lastContact := r.dispatcher.Loop.Now() - r.freshness.tracker.ConfirmedAt()
+	r.freshness.state = state
+	age := r.dispatcher.Loop.Now() - r.freshness.tracker.ConfirmedAt()
 	r.dispatcher.Log(fmt.Sprintf("the endpoint list is %v, the last contact with discovery was %v ago",
-		knowledge, lastContact.Round(time.Millisecond)))
-	if knowledge == freshness.Unknown {
+		state, age.Round(time.Millisecond)))
+	if state == freshness.Unknown {
 		r.suspendAll()
 		return
 	}
 	r.resumeIf(func(worker *Worker) bool {
-		return knowledge == freshness.Current || worker.evidence.Valid(&r.freshness.tracker)
+		return state == freshness.Current || worker.evidence.Valid(&r.freshness.tracker)
 	})
 }
 
@@ -61,18 +61,18 @@
 	}
 }
 
-// currentKnowledge returns how far the list can be relied on now. A list does not become stale if membership servers are
+// currentState returns how far the list can be relied on now. A list does not become stale if membership servers are
 // followed, if there is no source, or before it is published. If health checks are off, an unconfirmed list counts as
 // current, since the workers cannot be checked.
-func (r *Registry) currentKnowledge() freshness.State {
+func (r *Registry) currentState() freshness.State {
 	if r.follower != nil || r.watch.address == "" || r.initial.withheld() {
 		return freshness.Current
 	}
-	knowledge := r.freshness.tracker.State(r.dispatcher.Loop.Now())
-	if knowledge == freshness.Unconfirmed && !r.dispatcher.Settings.HealthChecks {
+	state := r.freshness.tracker.State(r.dispatcher.Loop.Now())
+	if state == freshness.Unconfirmed && !r.dispatcher.Settings.HealthChecks {
 		return freshness.Current
 	}
-	return knowledge
+	return state
 }
 
 // sourceConfirmed records that a complete line of the discovery watch has been applied.
@@ -83,9 +83,9 @@
 }
 
 // suspendNewlyListed suspends workers that have just been listed while the list is unknown. Refresh does not do so if
-// the list was unknown before, since it acts only when the knowledge changes.
+// the list was unknown before, since it acts only when the state changes.
 func (r *Registry) suspendNewlyListed() {
-	if r.freshness.knowledge == freshness.Unknown {
+	if r.freshness.state == freshness.Unknown {
 		r.suspendAll()
 	}
 }
--- a/internal/discovery/suspension.go
+++ b/internal/discovery/suspension.go
@@ -27,7 +27,7 @@
 // Admit decides whether a request that is ready may be sent to a worker now. If the list is unconfirmed and the worker
 // has failed a health check or could not be connected to, Admit also suspends the worker.
 func (r *Registry) Admit(worker *Worker, now time.Duration) Admission {
-	switch r.currentKnowledge() {
+	switch r.currentState() {
 	case freshness.Current:
 		return Admitted
 	case freshness.Unknown:
--- a/internal/discovery/worker.go
+++ b/internal/discovery/worker.go
@@ -28,7 +28,7 @@
 // HealthCheckFailed reports that a worker failed a health check. The worker is suspended if the list is unconfirmed.
 func (r *Registry) HealthCheckFailed(worker *Worker) {
 	worker.evidence.Invalidate(&r.freshness.tracker)
-	if r.freshness.knowledge == freshness.Unconfirmed {
+	if r.freshness.state == freshness.Unconfirmed {
 		r.suspend(worker)
 	}
 }
--- a/internal/dispatch/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -73,7 +73,7 @@
 func (d *Dispatcher) IsKnownID(id string) bool { return d.ids.known(d.ids.hash(id)) }
 
 // RequestIDs returns the key under which request IDs are hashed, and the hashed IDs of the open and the recent
-// requests. A successor process takes them over with AdoptIDKey and BlockIDs.
+// requests. A successor process takes them over with AdoptIDKey and AddKnownIDs.
 func (d *Dispatcher) RequestIDs() (key []byte, hashes []uint64) {
 	for hash := range d.ids.open {
 		hashes = append(hashes, hash)
--- a/internal/faktory/classset.go
+++ b/internal/faktory/classset.go
@@ -6,7 +6,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// maxClasses bounds the number of worker kinds that Prepare adds: one for each set
+// maxClasses bounds the number of worker kinds that AddWorkerKinds adds: one for each set
 // of classes, so at most 256.
 const maxClasses = 8
 
--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -57,11 +57,11 @@
 	Log *slog.Logger `toml:"-"` // for the service of durable jobs; if it is nil nothing is logged
 }
 
-// ErrSourceHandover is the error of Config.Movable for a process with the
+// ErrSourceHandover is the error of Config.CheckHandover for a process with the
 // source role, which cannot hand over to a successor.
 var ErrSourceHandover = errors.New("it fetches from upstream, whose jids are in memory only")
 
-// DirectQueueError is the error of Config.Movable for a process with a direct
+// DirectQueueError is the error of Config.CheckHandover for a process with a direct
 // queue, which cannot hand over to a successor.
 type DirectQueueError struct{ Queue string }
 
--- a/internal/faktory/config_test.go
+++ b/internal/faktory/config_test.go
@@ -59,7 +59,7 @@
 
 // A front end can hand over to a successor only if all its state is in the store.
 // Otherwise the error says what is not.
-func TestMovable(t *testing.T) {
+func TestCheckHandover(t *testing.T) {
 	settings := decision.Settings{Classes: []decision.Class{{Name: "status-check"}, {Name: "renewal"}}}
 	config := Default()
 	config.Durable.Queues = []string{"status-check", "renewal"}
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -33,7 +33,7 @@
 	engine         *transport.Engine
 	password       string         // empty if none is required
 	classIndexes   map[string]int // by name
-	firstClassKind int            // worker kind firstClassKind+set is for the classSet set, see Prepare
+	firstClassKind int            // worker kind firstClassKind+set is for the classSet set, see AddWorkerKinds
 
 	gate        *listener.Gate
 	acceptor    *transport.Acceptor
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -24,14 +24,14 @@
 )
 
 // String returns the name of the state in lower case.
-func (k State) String() string { return [...]string{"current", "unconfirmed", "unknown"}[k] }
+func (s State) String() string { return [...]string{"current", "unconfirmed", "unknown"}[s] }
 
 // Failure says how far a call to the source got before it ended without an update.
 type Failure uint8
 
 const (
-	// SourceUnreachable: there was no connection, or a reset or a refusal before a response began, or a response which says that
-	// the source is down or overloaded. These cases cannot be distinguished.
+	// SourceUnreachable: there was no connection, or a reset or a refusal before a response began, or a response which
+	// says that the source is down or overloaded. These cases cannot be distinguished.
 	SourceUnreachable Failure = iota
 	// IncompleteResponse: the source accepted the call, but sent no response or an incomplete one.
 	IncompleteResponse
@@ -151,7 +151,7 @@
 	return t.failed && t.lastFailure == SourceUnreachable && now < t.failedAt+failureValidity
 }
 
-// NextChange returns the next time at which Knowledge may change by the passing of time alone, or 0 if there is none.
+// NextChange returns the next time at which State may change by the passing of time alone, or 0 if there is none.
 func (t *Tracker) NextChange(now time.Duration) time.Duration {
 	next := time.Duration(0)
 	for _, at := range []time.Duration{
@@ -170,16 +170,18 @@
 // HealthEvidence says whether a successful health check of one worker still proves that the worker is listed. By the
 // zero value it does. A HealthEvidence is not safe for concurrent use.
 type HealthEvidence struct {
-	denied      bool
-	confirmedAt time.Duration // the list's LastContact at the time of the denial
+	invalidated bool
+	confirmedAt time.Duration // the list's ConfirmedAt when Invalidate was called
 }
 
 // Invalidate records that the worker could not be reached, or reported that it does not serve requests.
 func (e *HealthEvidence) Invalidate(t *Tracker) {
-	e.denied = true
+	e.invalidated = true
 	e.confirmedAt = t.ConfirmedAt()
 }
 
-// Valid reports whether health checks of the worker still count as proof. A worker for which Denied was called may have
-// been removed and restarted since: its health checks prove nothing until the list is confirmed again.
-func (e *HealthEvidence) Valid(t *Tracker) bool { return !e.denied || e.confirmedAt != t.ConfirmedAt() }
+// Valid reports whether health checks of the worker still count as proof. A worker for which Invalidate was called may
+// have been removed and restarted since: its health checks prove nothing until the list is confirmed again.
+func (e *HealthEvidence) Valid(t *Tracker) bool {
+	return !e.invalidated || e.confirmedAt != t.ConfirmedAt()
+}
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -15,20 +15,20 @@
 // event records something in the Tracker; it is nil in steps in which only time passes.
 type event func(t *Tracker, now time.Duration)
 
-func confirmed(t *Tracker, now time.Duration)  { t.Confirmed(now) }
-func notReached(t *Tracker, now time.Duration) { t.Failed(now, SourceUnreachable) }
-func brokenOff(t *Tracker, now time.Duration)  { t.Failed(now, IncompleteResponse) }
-func stalled(t *Tracker, now time.Duration)    { t.Stalled(now) }
+func confirmed(t *Tracker, now time.Duration)          { t.Confirmed(now) }
+func sourceUnreachable(t *Tracker, now time.Duration)  { t.Failed(now, SourceUnreachable) }
+func incompleteResponse(t *Tracker, now time.Duration) { t.Failed(now, IncompleteResponse) }
+func stalled(t *Tracker, now time.Duration)            { t.Stalled(now) }
 
-// step is one step of a scenario: an event at a time, and the expected Knowledge right after it.
+// step is one step of a scenario: an event at a time, and the expected State right after it.
 type step struct {
 	at    time.Duration
 	event event
 	want  State
 }
 
-// knowledgeScenarios begin with a list that was confirmed at time 0, where workers have no health checks.
-var knowledgeScenarios = map[string][]step{
+// stateScenarios begin with a list that was confirmed at time 0, where workers have no health checks.
+var stateScenarios = map[string][]step{
 	"confirmed in time": {
 		{5 * second, confirmed, Current},
 		{10 * second, nil, Current},
@@ -38,27 +38,27 @@
 		{5800 * millisecond, nil, Current},
 		{6 * second, nil, Unknown},
 	},
-	"calls that break off do not extend the bound": {
-		{3 * second, brokenOff, Current},
-		{5800 * millisecond, brokenOff, Current},
+	"incomplete responses do not extend the bound": {
+		{3 * second, incompleteResponse, Current},
+		{5800 * millisecond, incompleteResponse, Current},
 		{6 * second, nil, Unknown},
 		{7 * second, confirmed, Current},
 	},
 	"an outage": {
-		{2 * second, notReached, Current},
-		{5 * second, notReached, Current},
+		{2 * second, sourceUnreachable, Current},
+		{5 * second, sourceUnreachable, Current},
 		{6 * second, nil, Unconfirmed},
-		{9 * second, notReached, Unconfirmed},
+		{9 * second, sourceUnreachable, Unconfirmed},
 		{16 * second, nil, Unconfirmed},
 		{17 * second, nil, Unknown},
 	},
 	"an outage that ends with an incomplete response": {
-		{5 * second, notReached, Current},
-		{7 * second, brokenOff, Unknown},
+		{5 * second, sourceUnreachable, Current},
+		{7 * second, incompleteResponse, Unknown},
 	},
 	"an incomplete response, then an outage": {
-		{5 * second, brokenOff, Current},
-		{7 * second, notReached, Unconfirmed},
+		{5 * second, incompleteResponse, Current},
+		{7 * second, sourceUnreachable, Unconfirmed},
 	},
 	"a message read right after a stall confirms nothing": {
 		{10 * second, stalled, Unknown},
@@ -73,9 +73,9 @@
 	},
 }
 
-// Checks the Knowledge after sequences of confirmations, failed calls and stalls.
-func TestKnowledge(t *testing.T) {
-	for name, steps := range knowledgeScenarios {
+// Checks the State after sequences of confirmations, failed calls and stalls.
+func TestState(t *testing.T) {
+	for name, steps := range stateScenarios {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
 			tracker.Start(-startupWait)
@@ -166,19 +166,19 @@
 	}
 }
 
-// After Denied, health checks of the worker prove nothing until the list is confirmed again.
+// After Invalidate, health checks of the worker prove nothing until the list is confirmed again.
 func TestHealthEvidence(t *testing.T) {
 	var tracker Tracker
 	tracker.Confirmed(0)
-	var untouched, denied HealthEvidence
-	denied.Invalidate(&tracker)
-	if !untouched.Valid(&tracker) || denied.Valid(&tracker) {
-		t.Errorf("the zero value holds: %v, want true; after a denial: %v, want false",
-			untouched.Valid(&tracker), denied.Valid(&tracker))
+	var untouched, invalidated HealthEvidence
+	invalidated.Invalidate(&tracker)
+	if !untouched.Valid(&tracker) || invalidated.Valid(&tracker) {
+		t.Errorf("the zero value is valid: %v, want true; after Invalidate: %v, want false",
+			untouched.Valid(&tracker), invalidated.Valid(&tracker))
 	}
 	tracker.Confirmed(31 * second)
-	if !denied.Valid(&tracker) {
-		t.Error("does not hold, though the list was confirmed again")
+	if !invalidated.Valid(&tracker) {
+		t.Error("not valid, though the list was confirmed again")
 	}
 }
 
