--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// An attempt needs the concurrency ceiling, the token bucket and a worker. If one of them denies it, nothing
+// An attempt needs the concurrency ceiling, the token bucket and a worker. If one of them does not admit it, nothing
 // may remain reserved at the others.
 
 func TestConcurrencyCeilingBoundsSlotsInFlight(t *testing.T) {
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -84,7 +84,7 @@
 	attempt.lastSeen = m.now
 	attempt.sentAt = cmp.Or(attempt.sentAt, m.now)
 	m.markSeen(attempt.worker)
-	if lostRequest, lost := m.overtakenAttempt(request, attempt); lost != nil {
+	if lostRequest, lost := m.lostAttempt(request, attempt); lost != nil {
 		m.recordDeadConnection(lost)
 		m.rejectOrFail(lostRequest)
 	}
--- a/decision/connection.go
+++ b/decision/connection.go
@@ -96,7 +96,7 @@
 
 // markPossiblyLost records that the connection of a late attempt may be dead. The worker may then get other
 // requests, on a new connection; if one of them starts first, the late attempt was lost (see
-// overtakenAttempt).
+// lostAttempt).
 func (m *Machine) markPossiblyLost(request *request, attempt *attempt) {
 	m.removeUnstarted(attempt.worker)
 	attempt.worker.possiblyLost = request
@@ -120,9 +120,9 @@
 	return other.sentAt > 0 && a.sentAt > other.sentAt
 }
 
-// overtakenAttempt returns the possibly lost request of a worker and its attempt, if the given attempt of
-// another request was sent later and has started first. Otherwise it returns nil for both.
-func (m *Machine) overtakenAttempt(request *request, attempt *attempt) (*request, *attempt) {
+// lostAttempt returns the possibly lost request of a worker and its attempt, if the given attempt of another
+// request was sent later and has started first. Otherwise it returns nil for both.
+func (m *Machine) lostAttempt(request *request, attempt *attempt) (*request, *attempt) {
 	worker := attempt.worker
 	suspected := worker.possiblyLost
 	if suspected == nil || suspected == request {
--- a/decision/connection_test.go
+++ b/decision/connection_test.go
@@ -51,7 +51,7 @@
 
 // A reset right after a send on a connection that was idle for long counts against the connection, not
 // against the worker.
-func TestResetOfAnOldConnectionBlamesNoWorker(t *testing.T) {
+func TestResetOfAnOldConnectionIsNoWorkerFailure(t *testing.T) {
 	settings := testSettings()
 	settings.ConnectionIdleTimeout = 30 * time.Second
 	rig := newRig(t, settings, 1)
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -86,7 +86,7 @@
 // Thirty-six dispatchers that start together, or lose their subscription together, spread their calls over
 // time. At a service that answers seven calls per second, few calls then take the two seconds after which a
 // call fails, and dispatchers whose calls fail call again after a growing backoff.
-func TestLargeFleetSpreadsItsCalls(t *testing.T) {
+func TestManyDispatchersSpreadTheirCalls(t *testing.T) {
 	const peers = 36
 	for _, first := range []ListKind{ListCached, ListFailed} {
 		fleet := newCallingFleet(t, peers, first)
--- a/decision/event.go
+++ b/decision/event.go
@@ -50,7 +50,7 @@
 	// Settings hold new values of TenantQuotas, OverQuotaWeight and MaxRetryAfter, and of the
 	// PriorityWeight, LateWeight, LatencyObjective and ObjectiveStretch of Classes; all other fields are
 	// ignored. Open requests keep the value and the objective that they were admitted with. Settings that
-	// New would refuse, or that change the number of classes or tenants, have no effect.
+	// New would reject, or that change the number of classes or tenants, have no effect.
 	Settings *Settings
 }
 
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -192,7 +192,7 @@
 
 // A request that a worker reports as invalid fails at once: it is not sent to another worker, and it counts
 // neither against that worker nor against the fleet.
-func TestInvalidRequestBlamesNoWorker(t *testing.T) {
+func TestInvalidRequestIsNoWorkerFailure(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	before := rig.ceilings.concurrencyPerWorker
 	for i := range 2 * maxConsecutiveInvalid {
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -68,8 +68,8 @@
 		if attempt.neverRan {
 			continue
 		}
-		forgotten := m.now-attempt.assignedAt >= request.class.DedupWindow-m.settings.Tick
-		if request.class.Idempotency == NonIdempotent || forgotten {
+		windowOver := m.now-attempt.assignedAt >= request.class.DedupWindow-m.settings.Tick
+		if request.class.Idempotency == NonIdempotent || windowOver {
 			return true
 		}
 	}
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -138,7 +138,7 @@
 	if err := checkAmount("OverQuotaWeight", s.OverQuotaWeight); err != nil {
 		return err
 	}
-	if !(s.SlowStartFloor >= 0 && s.SlowStartFloor <= 1) { // NaN is refused as well
+	if !(s.SlowStartFloor >= 0 && s.SlowStartFloor <= 1) { // NaN is rejected as well
 		return errors.New("settings: SlowStartFloor must be between 0 and 1")
 	}
 	if s.KeyCooldown < 0 {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// checkAmount refuses a number that is negative, infinite or NaN.
+// checkAmount rejects a number that is negative, infinite or NaN.
 func checkAmount(field string, x float64) error {
 	if !(x >= 0) || math.IsInf(x, 0) {
 		return fmt.Errorf("settings: %s must be finite and not negative", field)
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// checkPlacement refuses a list of kinds or zones that is empty but not nil, or that has a negative number.
+// checkPlacement rejects a list of kinds or zones that is empty but not nil, or that has a negative number.
 func checkPlacement(class int, field string, list []int) error {
 	if list != nil && (len(list) == 0 || slices.Min(list) < 0) {
 		return fmt.Errorf("settings: Classes[%d].%s must name one at least, or be nil", class, field)
--- a/decision/zone_test.go
+++ b/decision/zone_test.go
@@ -60,8 +60,8 @@
 	return n
 }
 
-// refuseConnect sends a request to a worker and lets the connect fail.
-func (r *zoneRig) refuseConnect(worker *worker) {
+// failConnect sends a request to a worker and lets the connect fail.
+func (r *zoneRig) failConnect(worker *worker) {
 	request := &request{
 		id:       r.next,
 		class:    &r.settings.Classes[1],
@@ -85,22 +85,22 @@
 	r.now += time.Millisecond
 }
 
-// refuseTwice lets two connects in a row fail in each of the zones.
-func (r *zoneRig) refuseTwice(zones ...int) {
+// failTwice lets two connects in a row fail in each of the zones.
+func (r *zoneRig) failTwice(zones ...int) {
 	for _, number := range zones {
-		r.refuseConnect(r.inZone(number)[0])
-		r.refuseConnect(r.inZone(number)[1])
+		r.failConnect(r.inZone(number)[0])
+		r.failConnect(r.inZone(number)[1])
 	}
 }
 
 func TestZoneIsUnreachableAfterTwoFailedConnects(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
-		rig.refuseConnect(rig.inZone(1)[0])
+		rig.failConnect(rig.inZone(1)[0])
 		rig.markZoneSeen(0)
 		if rig.countUnreachable() != 0 {
 			t.Fatal("one failed connect makes a zone unreachable")
 		}
-		rig.refuseConnect(rig.inZone(1)[1])
+		rig.failConnect(rig.inZone(1)[1])
 		rig.markZoneSeen(0)
 		logged := slices.Contains(rig.logs, "zone russeifa looks unreachable: 2 connects failed in a row")
 		if rig.countUnreachable() != 1 || !rig.unreachable(1) || !logged {
@@ -116,14 +116,14 @@
 
 func TestTrialsOfAnUnreachableZoneBecomeRarer(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
-		rig.refuseTwice(1)
+		rig.failTwice(1)
 		rig.markZoneSeen(0)
 		fourTimeouts := 4*rig.settings.ConnectTimeout + time.Millisecond
 		rig.now += fourTimeouts
 		if rig.countUnreachable() != 0 {
 			t.Fatal("no trial is due after four connect timeouts")
 		}
-		rig.refuseConnect(rig.inZone(1)[2]) // the trial fails: the next one comes later
+		rig.failConnect(rig.inZone(1)[2]) // the trial fails: the next one comes later
 		rig.now += fourTimeouts
 		rig.markZoneSeen(0)
 		if rig.countUnreachable() != 1 {
@@ -135,10 +135,10 @@
 // Once a worker of a zone was seen, earlier failures, including failed trials, no longer count.
 func TestZoneThatWasSeenIsReachable(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
-		rig.refuseTwice(1)
+		rig.failTwice(1)
 		rig.markZoneSeen(0)
 		rig.now += 4*rig.settings.ConnectTimeout + time.Millisecond
-		rig.refuseConnect(rig.inZone(1)[2]) // a trial
+		rig.failConnect(rig.inZone(1)[2]) // a trial
 		rig.markZoneSeen(0)
 		if rig.countUnreachable() != 1 {
 			t.Fatal("a zone is not unreachable after two failed connects in a row")
@@ -151,7 +151,7 @@
 		if rig.countUnreachable() != 0 || log == nil || log.Text != "zone russeifa is reachable again" {
 			t.Fatalf("a zone that was seen is still unreachable: %+v", actions)
 		}
-		rig.refuseTwice(0, 1, 2) // the earlier failures must not count
+		rig.failTwice(0, 1, 2) // the earlier failures must not count
 		if rig.countUnreachable() != 0 {
 			t.Fatal("all zones are unreachable at once")
 		}
@@ -167,7 +167,7 @@
 func TestNotAllZonesAreUnreachableAtOnce(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
 		rig.markZoneSeen(0)
-		rig.refuseTwice(0, 1, 2)
+		rig.failTwice(0, 1, 2)
 		if rig.countUnreachable() != 0 {
 			t.Fatal("all zones are unreachable at once")
 		}
@@ -186,7 +186,7 @@
 
 func TestUnreachableZoneGetsOneTrialAtATime(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
-		rig.refuseTwice(2)
+		rig.failTwice(2)
 		rig.markZoneSeen(0)
 		if !rig.unreachable(2) {
 			t.Fatal("a zone is not unreachable after two failed connects in a row")
@@ -208,7 +208,7 @@
 // without progress reports.
 func TestAttemptInUnreachableZoneIsHedged(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
-		rig.refuseTwice(2)
+		rig.failTwice(2)
 		rig.now += rig.planningHorizon
 		rig.markZoneSeen(0)
 		request := &request{
--- a/internal/connlimit/scale_test.go
+++ b/internal/connlimit/scale_test.go
@@ -39,7 +39,7 @@
 		s.now = time.Duration(second) * time.Second
 		s.closeEnded()
 		if second%500 == 0 {
-			s.forgetClosedTokens()
+			s.removeClosedTokens()
 		}
 		s.admitUnknown(second)
 		s.admitKnown()
@@ -180,8 +180,8 @@
 	s.open = stillOpen
 }
 
-// forgetClosedTokens removes the tokens of connections that have ended.
-func (s *scaleTest) forgetClosedTokens() {
+// removeClosedTokens removes the tokens of connections that have ended.
+func (s *scaleTest) removeClosedTokens() {
 	for token, id := range s.byToken {
 		if _, connection := s.limiter.find(id); connection == nil {
 			delete(s.byToken, token)
--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -65,8 +65,8 @@
 // No worker is taken from an invalid list, for which an error is returned.
 //
 // The list may be old. Requests are accepted at once, since clients have no other dispatcher to use, but they wait until
-// the source has sent what has changed, or until initialListTimeout has passed. In a large fleet, whose dispatchers
-// subscribe in turn, the first update may take long, so the initial list is used at once.
+// the source has sent what has changed, or until initialListTimeout has passed. If there are many dispatchers, they
+// subscribe in turn and the first update may take long, so the initial list is used at once.
 func (r *Registry) LoadInitial(raw []byte) error {
 	list := endpointList{Snapshot: true}
 	if len(raw) > 0 {
--- a/internal/discovery/largefleet_test.go
+++ b/internal/discovery/manydispatchers_test.go
@@ -7,10 +7,10 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// In a large fleet the list of the configuration is published at once, before discovery has answered. Its workers must
-// be suspended until then. They were not: the list counted as unknown before it was published, so that publishing it was
-// no change of freshness. Attempts were assigned to the workers, and then ended at the check before sending.
-func TestInitialListOfALargeFleetIsSuspended(t *testing.T) {
+// If there are many dispatchers, the initial list is published at once, before discovery has answered. Its workers must
+// be suspended until then. Guards against attempts that are assigned to them and then ended at the check before sending:
+// the list is unknown even before it is published, so publishing it does not change the state of its freshness.
+func TestInitialListWithManyDispatchersIsSuspended(t *testing.T) {
 	calls := testkit.Listen(t)
 	rig := testkit.NewRig(t, func(settings *decision.Settings) {
 		settings.ListBySubscription = true
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -84,7 +84,7 @@
 	t.Helper()
 	addr, calls := listenForCalls(t)
 	registry := followDiscovery(t, rig, addr)
-	rig.Do(func() { // the first call of a large fleet has jitter
+	rig.Do(func() { // with many dispatchers the first call has jitter
 		registry.watch.checkNextCall(t)
 		registry.Subscribe()
 	})
@@ -139,7 +139,7 @@
 	former, formerCalls := listenForCalls(t)
 	next, nextCalls := listenForCalls(t)
 	registry := followDiscovery(t, rig, former)
-	rig.Do(func() { registry.Subscribe() }) // without the jitter of a large fleet
+	rig.Do(func() { registry.Subscribe() }) // without the jitter for many dispatchers
 	testkit.Receive(t, formerCalls).Close()
 	waitOnLoop(t, rig, "the call has failed", func() bool { return registry.watch.nextCallAt > 0 })
 	rig.Do(func() {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -40,7 +40,7 @@
 	number := len(request.attempts)
 	client := d.clientOf(worker)
 	if !request.answered {
-		d.cancelIfClientLeft(request) // the front end may not have handled the client's disconnect yet
+		d.cancelIfDisconnected(request) // the front end may not have handled the client's disconnect yet
 	}
 	_, allowed := d.Guard.MayStart(d.startFacts(request, number))
 	if !allowed || client == nil || request.attemptsMade() >= max(d.Settings.MaxAttempts, 1) {
--- a/internal/dispatch/cancellation.go
+++ b/internal/dispatch/cancellation.go
@@ -32,12 +32,12 @@
 		return true
 	}
 	request := d.requests.Get(attempt.requestHandle)
-	return !request.answered && d.cancelIfClientLeft(request)
+	return !request.answered && d.cancelIfDisconnected(request)
 }
 
-// cancelIfClientLeft cancels a request whose client has disconnected, and reports whether it did so. It never cancels
+// cancelIfDisconnected cancels a request whose client has disconnected, and reports whether it did so. It never cancels
 // the request of a leased job, which is to run whether or not its client waits.
-func (d *Dispatcher) cancelIfClientLeft(request *openRequest) bool {
+func (d *Dispatcher) cancelIfDisconnected(request *openRequest) bool {
 	watcher, ok := request.frontEnd.(ClientWatcher)
 	if !ok || request.Leaser != nil || !watcher.ClientLeft(request.token) {
 		return false
--- a/internal/dispatch/neversent_test.go
+++ b/internal/dispatch/neversent_test.go
@@ -12,7 +12,7 @@
 // renewal is still being dialed then, the renewal must be rejected as never run, so that the client can send it again
 // at once. It was answered with "failed, may have run: true" although the worker client had sent nothing, so that the
 // member was told to check whether the renewal had been charged. The cause is that of
-// TestOvertakenRequestThatWasNeverSentIsRejected: the machine counts an attempt as sent when it is assigned.
+// TestNeverSentRequestIsRejectedIfALaterOneStarts: the machine counts an attempt as sent when it is assigned.
 func TestLateRequestThatWasNeverSentIsRejected(t *testing.T) {
 	now := time.Hour
 	client := &dialingClient{sent: map[uint64]bool{}}
@@ -22,7 +22,7 @@
 		Classes: []decision.Class{{
 			PriorityWeight:   5,
 			LatencyObjective: 200 * time.Millisecond,
-			Deadline:         overtakingDeadline,
+			Deadline:         startOrderDeadline,
 			Idempotency:      decision.NonIdempotent,
 		}},
 		Tick:           2 * time.Millisecond,
--- a/internal/dispatch/overtaken_test.go
+++ b/internal/dispatch/startorder_test.go
@@ -33,20 +33,20 @@
 	r[token] = append(r[token], response)
 }
 
-// overtakingDeadline is the deadline of the requests of an overtakingTest.
-const overtakingDeadline = 8 * time.Second
+// startOrderDeadline is the deadline of the requests of an startOrderTest.
+const startOrderDeadline = 8 * time.Second
 
-// overtakingTest is a dispatcher in virtual time, with one class of non-idempotent requests and one worker, which
+// startOrderTest is a dispatcher in virtual time, with one class of non-idempotent requests and one worker, which
 // starts requests in the order of their arrival.
-type overtakingTest struct {
+type startOrderTest struct {
 	now        time.Duration
 	dispatcher *Dispatcher
 	client     *dialingClient
 	responses  responseRecorder
 }
 
-func newOvertakingTest(t *testing.T) *overtakingTest {
-	test := &overtakingTest{
+func newStartOrderTest(t *testing.T) *startOrderTest {
+	test := &startOrderTest{
 		now:       time.Hour,
 		client:    &dialingClient{sent: map[uint64]bool{}},
 		responses: responseRecorder{},
@@ -57,7 +57,7 @@
 			PriorityWeight:   5,
 			LateWeight:       0.5,
 			LatencyObjective: 200 * time.Millisecond,
-			Deadline:         overtakingDeadline,
+			Deadline:         startOrderDeadline,
 			Idempotency:      decision.NonIdempotent,
 		}},
 		Tick:                  2 * time.Millisecond,
@@ -76,23 +76,23 @@
 }
 
 // accept hands in a request, which the machine assigns at once.
-func (o *overtakingTest) accept(token uint64) {
-	o.dispatcher.Accept(o.responses, token, Request{Work: 20 * time.Millisecond})
+func (s *startOrderTest) accept(token uint64) {
+	s.dispatcher.Accept(s.responses, token, Request{Work: 20 * time.Millisecond})
 }
 
 // advance lets a span of time pass.
-func (o *overtakingTest) advance(span time.Duration) {
-	for end := o.now + span; o.now < end; {
-		o.now += time.Millisecond
-		o.dispatcher.Loop.RunOnce()
+func (s *startOrderTest) advance(span time.Duration) {
+	for end := s.now + span; s.now < end; {
+		s.now += time.Millisecond
+		s.dispatcher.Loop.RunOnce()
 	}
 }
 
 // sendAndStart reports that an attempt was sent and has started.
-func (o *overtakingTest) sendAndStart(handle uint64) {
-	o.client.sent[handle] = true
-	o.dispatcher.AttemptSent(handle)
-	o.dispatcher.AttemptStarted(handle)
+func (s *startOrderTest) sendAndStart(handle uint64) {
+	s.client.sent[handle] = true
+	s.dispatcher.AttemptSent(handle)
+	s.dispatcher.AttemptStarted(handle)
 }
 
 // A non-idempotent request whose attempt has never been sent, since its connection is still being dialed, has not run.
@@ -103,8 +103,8 @@
 // 502. The machine counted the attempt as sent when it was assigned. It assumed that the attempt used an idle
 // connection, since it also counts idle connections that the worker has announced to close, and took the start of the
 // later request as proof that this connection was dead.
-func TestOvertakenRequestThatWasNeverSentIsRejected(t *testing.T) {
-	test := newOvertakingTest(t)
+func TestNeverSentRequestIsRejectedIfALaterOneStarts(t *testing.T) {
+	test := newStartOrderTest(t)
 	test.accept(1) // leaves a connection that the machine counts as idle although the worker may have closed it
 	first := test.client.lastStarted()
 	test.sendAndStart(first)
@@ -117,7 +117,7 @@
 		t.Fatalf("%d attempts were started, want 3", started)
 	}
 	test.sendAndStart(test.client.lastStarted())
-	test.advance(overtakingDeadline) // after this each request has its response
+	test.advance(startOrderDeadline) // after this each request has its response
 
 	if responses := len(test.responses[2]); responses != 1 {
 		t.Fatalf("%d responses to the request that was never sent, want one", responses)
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -85,12 +85,12 @@
 		l.leavingSince[endpoint.Name] = now
 	}
 	if len(l.leavingSince) > maxLeaving {
-		l.forgetLeaving(now)
+		l.removeExpiredLeaving(now)
 	}
 }
 
-// forgetLeaving deletes the records of workers that have been leaving for longer than leavingRetention.
-func (l *workerList) forgetLeaving(now time.Duration) {
+// removeExpiredLeaving deletes the records of workers that have been leaving for longer than leavingRetention.
+func (l *workerList) removeExpiredLeaving(now time.Duration) {
 	for name, since := range l.leavingSince {
 		if now-since > leavingRetention {
 			delete(l.leavingSince, name)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -3,7 +3,7 @@
 //
 // Other goroutines hand work over with [Loop.Post]. Within the loop, a [Deadline] calls a function at a time of the
 // loop's clock. Deadlines never fire early. They fire in the order of their times, and in the order in which they were
-// set where the times are equal. The loop also detects stalls, in which it or its process was held up;
+// set where the times are equal. The loop also detects stalls, in which it or its process was blocked;
 // [Loop.QueuedSince] takes them into account.
 package eventloop
 
--- a/internal/eventloop/shortstall_test.go
+++ b/internal/eventloop/shortstall_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against requests that are treated as new although they waited while the process was held up: stalls of less
+// Guards against requests that are treated as new although they waited while the process was blocked: stalls of less
 // than 0.5 s were ignored.
 func TestQueuedSinceAfterShortStall(t *testing.T) {
 	now := time.Hour
@@ -20,7 +20,7 @@
 	}
 }
 
-// Guards against the same failure if the loop is held up by a function within a turn.
+// Guards against the same failure if the loop is blocked by a function within a turn.
 func TestQueuedSinceAfterLongTurn(t *testing.T) {
 	now := time.Hour
 	loop := NewVirtual(func() time.Duration { return now })
--- a/internal/eventloop/stall.go
+++ b/internal/eventloop/stall.go
@@ -14,7 +14,7 @@
 	stallRecoveryTime = 100 * time.Millisecond
 )
 
-// stall is a span in which the loop was held up. The zero value means that there was none.
+// stall is a span in which the loop was blocked. The zero value means that there was none.
 type stall struct {
 	begin, end time.Duration // clock times; begin is the earliest possible beginning
 }
--- a/internal/faktory/classset.go
+++ b/internal/faktory/classset.go
@@ -24,7 +24,7 @@
 // itself never assigns a job to a worker that does not fetch its queue.
 func AddWorkerKinds(settings *decision.Settings) error {
 	if len(settings.Classes) > maxClasses {
-		return fmt.Errorf("settings: classes: the Faktory front takes %d at most", maxClasses)
+		return fmt.Errorf("settings: classes: the Faktory front end takes %d at most", maxClasses)
 	}
 	firstClassKind := len(settings.KindNames)
 	for i := range settings.Classes {
--- a/internal/faktory/dedupwindow_test.go
+++ b/internal/faktory/dedupwindow_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against a deduplicated job that runs twice: a retry that waited for its worker's next FETCH was handed out after
-// the dedup window, when workers had forgotten the first attempt.
+// the dedup window, when workers no longer recognized it as a duplicate.
 func TestRetryIsNotHandedOutAfterDedupWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	address, _ := openFrontEnd(t, serverConfig, func(settings *decision.Settings) {
--- a/internal/faktory/delivery.go
+++ b/internal/faktory/delivery.go
@@ -63,8 +63,8 @@
 	return allowed
 }
 
-// forgetDelivery removes a delivery from the server and from its worker.
-func (s *Server) forgetDelivery(delivery *jobDelivery) {
+// removeDelivery removes a delivery from the server and from its worker.
+func (s *Server) removeDelivery(delivery *jobDelivery) {
 	delete(s.deliveries, delivery.attempt.Handle)
 	s.dispatcher.Loop.Clear(&delivery.fetchDeadline)
 	if delivery.handedOut {
@@ -76,7 +76,7 @@
 
 // endAttempt removes a delivery and reports to the dispatcher how its attempt ended.
 func (s *Server) endAttempt(delivery *jobDelivery, outcome decision.AttemptOutcome) {
-	s.forgetDelivery(delivery)
+	s.removeDelivery(delivery)
 	s.dispatcher.AttemptEnded(delivery.attempt.Handle, outcome, decision.LoadReport{}, nil)
 }
 
--- a/internal/faktory/frontend.go
+++ b/internal/faktory/frontend.go
@@ -19,31 +19,31 @@
 // Open starts the roles that are configured. gate decides which connections are
 // admitted; if it is nil, at most maxConnections are. After an error nothing is
 // left open.
-func Open(dispatcher *dispatch.Dispatcher, engine *transport.Engine, config Config, maxConnections int, gate *listener.Gate) (front FrontEnd, err error) {
+func Open(dispatcher *dispatch.Dispatcher, engine *transport.Engine, config Config, maxConnections int, gate *listener.Gate) (frontEnd FrontEnd, err error) {
 	jids := newJidMemory()
 	if config.Listen != "" {
-		front.Server = NewServer(dispatcher, engine, config.Password, jids)
+		frontEnd.Server = NewServer(dispatcher, engine, config.Password, jids)
 		if gate != nil {
-			front.Server.SetGate(gate)
+			frontEnd.Server.SetGate(gate)
 		}
 		if config.Durable.Path != "" {
-			err := front.Server.EnableDurable(config.Durable)
+			err := frontEnd.Server.EnableDurable(config.Durable)
 			if err != nil {
-				return front, err
+				return frontEnd, err
 			}
 		}
-		address, err := front.Server.Listen(config.Listen, maxConnections)
+		address, err := frontEnd.Server.Listen(config.Listen, maxConnections)
 		if err != nil {
-			front.Close() // closes the store's file
-			return front, fmt.Errorf("listen: %w", err)
+			frontEnd.Close() // closes the store's file
+			return frontEnd, fmt.Errorf("listen: %w", err)
 		}
 		dispatcher.Log("faktory: listening on " + address)
 	}
 	if config.Source.Address != "" {
-		front.Source = NewSource(dispatcher, engine, config, jids)
-		front.Source.Start()
+		frontEnd.Source = NewSource(dispatcher, engine, config, jids)
+		frontEnd.Source.Start()
 	}
-	return front, nil
+	return frontEnd, nil
 }
 
 // Stop begins a graceful shutdown: no more jobs are fetched from upstream, and no
--- a/internal/faktory/workerclient.go
+++ b/internal/faktory/workerclient.go
@@ -54,6 +54,6 @@
 	if delivery == nil {
 		return false
 	}
-	s.forgetDelivery(delivery)
+	s.removeDelivery(delivery)
 	return !delivery.handedOut
 }
--- a/internal/httpfront/clientleaves_test.go
+++ b/internal/httpfront/clientdisconnect_test.go
@@ -18,20 +18,20 @@
 // after that request. A close is not seen by reading while there are unread bytes before it.
 func TestClientCloseIsDetectedAfterUnreadBytes(t *testing.T) {
 	for _, trailingBytes := range []int{0, 1, 300, 3 * transport.BufferSize, moreThanSocketBuffers} {
-		front := startHoldingFrontEnd(t)
-		conn, _ := testkit.Connect(t, front.addr, testkit.RequestWithID("leaves")+strings.Repeat("x", trailingBytes))
-		front.awaitAttempt()
+		frontEnd := startHoldingFrontEnd(t)
+		conn, _ := testkit.Connect(t, frontEnd.addr, testkit.RequestWithID("leaves")+strings.Repeat("x", trailingBytes))
+		frontEnd.awaitAttempt()
 		conn.Close()
-		front.waitForCancelled(fmt.Sprintf("the client's close after %d bytes is detected", trailingBytes))
+		frontEnd.waitForCancelled(fmt.Sprintf("the client's close after %d bytes is detected", trailingBytes))
 	}
 }
 
 // Checks that the close is also detected if the client's socket still holds a part of what the client has sent.
 func TestClientCloseIsDetectedAfterUnsentBytes(t *testing.T) {
-	front := startHoldingFrontEnd(t)
-	conn, _ := testkit.Connect(t, front.addr, testkit.RequestWithID("leaves"))
-	front.awaitAttempt()
-	release := front.BlockLoop() // keeps the front end from reading and discarding the bytes
+	frontEnd := startHoldingFrontEnd(t)
+	conn, _ := testkit.Connect(t, frontEnd.addr, testkit.RequestWithID("leaves"))
+	frontEnd.awaitAttempt()
+	release := frontEnd.BlockLoop() // keeps the front end from reading and discarding the bytes
 	go io.WriteString(conn, strings.Repeat("x", moreThanSocketBuffers))
 	const settled = 20 * time.Millisecond
 	testkit.Until(t, "the kernel takes no more", func() bool {
@@ -41,7 +41,7 @@
 	})
 	conn.Close()
 	release()
-	front.waitForCancelled("the client's close after unsent bytes is detected")
+	frontEnd.waitForCancelled("the client's close after unsent bytes is detected")
 }
 
 // moreThanSocketBuffers is a number of bytes that does not fit into the socket buffers while nobody reads.
--- a/internal/httpfront/eviction_test.go
+++ b/internal/httpfront/eviction_test.go
@@ -57,14 +57,14 @@
 
 // Checks that a connection on which a response is pending is never evicted to free memory.
 func TestFreeMemorySparesPendingResponses(t *testing.T) {
-	front := startHoldingFrontEnd(t)
-	_, reader := testkit.Connect(t, front.addr, testkit.RequestWithID("first")+"POST /renewal/k HTTP/1.1\r\n")
-	attempt := front.awaitAttempt()
-	front.Do(func() {
-		front.memoryLimit = 1
-		front.freeMemory()
-		front.memoryLimit = ampleMemory
+	frontEnd := startHoldingFrontEnd(t)
+	_, reader := testkit.Connect(t, frontEnd.addr, testkit.RequestWithID("first")+"POST /renewal/k HTTP/1.1\r\n")
+	attempt := frontEnd.awaitAttempt()
+	frontEnd.Do(func() {
+		frontEnd.memoryLimit = 1
+		frontEnd.freeMemory()
+		frontEnd.memoryLimit = ampleMemory
 	})
-	front.complete(attempt)
+	frontEnd.complete(attempt)
 	checkStatus(t, "the pending response", reader, 200)
 }
--- a/internal/httpfront/frontend_test.go
+++ b/internal/httpfront/frontend_test.go
@@ -87,20 +87,20 @@
 // Checks that a request is rejected if its correlation ID is that of an open or recent request. Otherwise it would be
 // forwarded to one worker after another, each of which would reject it, and those workers would count as faulty.
 func TestCorrelationIDInUse(t *testing.T) {
-	front := startHoldingFrontEnd(t)
-	first := postWithID(front.addr, "one")
-	attempt := front.awaitAttempt()
-	if status := <-postWithID(front.addr, "one"); status != 409 {
+	frontEnd := startHoldingFrontEnd(t)
+	first := postWithID(frontEnd.addr, "one")
+	attempt := frontEnd.awaitAttempt()
+	if status := <-postWithID(frontEnd.addr, "one"); status != 409 {
 		t.Errorf("the ID of an open request: status %d, want 409", status)
 	}
-	front.complete(attempt)
+	frontEnd.complete(attempt)
 	if status := <-first; status != 200 {
 		t.Errorf("the open request: status %d, want 200", status)
 	}
-	if status := <-postWithID(front.addr, "one"); status != 409 {
+	if status := <-postWithID(frontEnd.addr, "one"); status != 409 {
 		t.Errorf("the ID of a completed request: status %d, want 409", status)
 	}
-	if forwarded := len(front.worker.Started); forwarded != 0 {
+	if forwarded := len(frontEnd.worker.Started); forwarded != 0 {
 		t.Errorf("%d more attempts", forwarded)
 	}
 }
--- a/internal/httpfront/stopreading_test.go
+++ b/internal/httpfront/stopreading_test.go
@@ -16,40 +16,40 @@
 
 // Checks that a request that was read before StopReading is served.
 func TestRequestReadBeforeStopReadingIsServed(t *testing.T) {
-	testStopReading(t, 200, func(front *holdingFrontEnd, conn net.Conn) {
-		release := front.BlockLoop()
-		front.Write(front.t, conn, testkit.RequestWithID("crossing"))
-		front.Dispatcher.Loop.Post(front.StopReading)
+	testStopReading(t, 200, func(frontEnd *holdingFrontEnd, conn net.Conn) {
+		release := frontEnd.BlockLoop()
+		frontEnd.Write(frontEnd.t, conn, testkit.RequestWithID("crossing"))
+		frontEnd.Dispatcher.Loop.Post(frontEnd.StopReading)
 		release()
 	})
 }
 
 // Checks that a request is served if the poller has read it but the loop has not handled it yet.
 func TestRequestUnhandledAtStopReadingIsServed(t *testing.T) {
-	testStopReading(t, 200, func(front *holdingFrontEnd, conn net.Conn) {
-		release := front.BlockLoop()
-		front.Dispatcher.Loop.Post(front.StopReading)
-		front.Write(front.t, conn, testkit.RequestWithID("crossing"))
+	testStopReading(t, 200, func(frontEnd *holdingFrontEnd, conn net.Conn) {
+		release := frontEnd.BlockLoop()
+		frontEnd.Dispatcher.Loop.Post(frontEnd.StopReading)
+		frontEnd.Write(frontEnd.t, conn, testkit.RequestWithID("crossing"))
 		release()
 	})
 }
 
 // Checks that a request that arrives after StopReading is never forwarded.
 func TestRequestAfterStopReadingIsNotForwarded(t *testing.T) {
-	testStopReading(t, noResponse, func(front *holdingFrontEnd, conn net.Conn) {
-		front.Do(front.StopReading)
-		front.waitForLoop()
+	testStopReading(t, noResponse, func(frontEnd *holdingFrontEnd, conn net.Conn) {
+		frontEnd.Do(frontEnd.StopReading)
+		frontEnd.waitForLoop()
 		io.WriteString(conn, testkit.RequestWithID("crossing"))
 	})
 }
 
 // Checks that a request of which only a part was read before StopReading is rejected.
 func TestHalfRequestAtStopReadingIsRejected(t *testing.T) {
-	testStopReading(t, 503, func(front *holdingFrontEnd, conn net.Conn) {
-		release := front.BlockLoop()
-		front.Dispatcher.Loop.Post(front.StopReading)
+	testStopReading(t, 503, func(frontEnd *holdingFrontEnd, conn net.Conn) {
+		release := frontEnd.BlockLoop()
+		frontEnd.Dispatcher.Loop.Post(frontEnd.StopReading)
 		text := testkit.RequestWithID("crossing")
-		front.Write(front.t, conn, text[:len(text)/2])
+		frontEnd.Write(frontEnd.t, conn, text[:len(text)/2])
 		release()
 		io.WriteString(conn, text[len(text)/2:])
 	})
@@ -61,15 +61,15 @@
 // testStopReading calls sendAndStop, which stops reading and sends a request on an idle connection, in the order under
 // test. It checks that the client gets a response with the status (none if that is noResponse), that its connection is
 // closed gracefully, and that no other request is forwarded.
-func testStopReading(t *testing.T, status int, sendAndStop func(front *holdingFrontEnd, conn net.Conn)) {
+func testStopReading(t *testing.T, status int, sendAndStop func(frontEnd *holdingFrontEnd, conn net.Conn)) {
 	t.Helper()
-	front := startHoldingFrontEnd(t)
-	conn, reader := testkit.Connect(t, front.addr, testkit.RequestWithID("first"))
-	front.completeNext()
+	frontEnd := startHoldingFrontEnd(t)
+	conn, reader := testkit.Connect(t, frontEnd.addr, testkit.RequestWithID("first"))
+	frontEnd.completeNext()
 	requireStatus(t, "the first request", reader, 200)
-	sendAndStop(front, conn)
+	sendAndStop(frontEnd, conn)
 	if status == 200 {
-		front.completeNext()
+		frontEnd.completeNext()
 	}
 	if status != noResponse {
 		checkLastResponse(t, reader, status)
@@ -77,12 +77,12 @@
 	if !closesGracefully(reader) {
 		t.Error("the connection is not closed gracefully")
 	}
-	front.waitForLoop()
-	if forwarded := len(front.worker.Started); forwarded != 0 {
+	frontEnd.waitForLoop()
+	if forwarded := len(frontEnd.worker.Started); forwarded != 0 {
 		t.Errorf("%d requests were forwarded after StopReading", forwarded)
 	}
 	testkit.Until(t, "all connections end", func() (none bool) {
-		front.Do(func() { none = front.OpenConnections() == 0 && front.ConnectionCount() == 0 })
+		frontEnd.Do(func() { none = frontEnd.OpenConnections() == 0 && frontEnd.ConnectionCount() == 0 })
 		return none
 	})
 }
@@ -99,9 +99,9 @@
 
 // Checks that a client that never stops sending delays neither its own response nor the shutdown.
 func TestStopReadingWithAFloodingClient(t *testing.T) {
-	front := startHoldingFrontEnd(t)
-	conn, reader := testkit.Connect(t, front.addr, testkit.RequestWithID("first"))
-	attempt := front.awaitAttempt()
+	frontEnd := startHoldingFrontEnd(t)
+	conn, reader := testkit.Connect(t, frontEnd.addr, testkit.RequestWithID("first"))
+	attempt := frontEnd.awaitAttempt()
 	var sent atomic.Int64
 	go func() {
 		junk := make([]byte, 16<<10)
@@ -114,11 +114,11 @@
 		}
 	}()
 	testkit.Until(t, "much has been sent", func() bool { return sent.Load() > 100<<10 })
-	front.Do(front.StopReading)
-	front.complete(attempt)
+	frontEnd.Do(frontEnd.StopReading)
+	frontEnd.complete(attempt)
 	checkStatus(t, "its response", reader, 200)
 	testkit.Until(t, "its connection ends", func() (none bool) {
-		front.Do(func() { none = front.OpenConnections() == 0 })
+		frontEnd.Do(func() { none = frontEnd.OpenConnections() == 0 })
 		return none
 	})
 }
--- a/internal/httpfront/timeouts_test.go
+++ b/internal/httpfront/timeouts_test.go
@@ -35,16 +35,16 @@
 // Checks that a request is served if it arrives in the same turn of the event loop in which the idle timeout of its
 // connection ends.
 func TestIdleTimeoutAsARequestComes(t *testing.T) {
-	front := startHoldingFrontEnd(t)
-	conn, reader := testkit.Connect(t, front.addr, testkit.RequestWithID("first"))
-	front.completeNext()
+	frontEnd := startHoldingFrontEnd(t)
+	conn, reader := testkit.Connect(t, frontEnd.addr, testkit.RequestWithID("first"))
+	frontEnd.completeNext()
 	requireStatus(t, "the first request", reader, 200)
-	release := front.BlockLoop()
-	front.Dispatcher.Loop.Post(func() {
-		front.connections.ForEach(func(_ uint64, connection *clientConnection) { connection.onTimer() })
+	release := frontEnd.BlockLoop()
+	frontEnd.Dispatcher.Loop.Post(func() {
+		frontEnd.connections.ForEach(func(_ uint64, connection *clientConnection) { connection.onTimer() })
 	})
-	front.Write(t, conn, testkit.RequestWithID("crossing"))
+	frontEnd.Write(t, conn, testkit.RequestWithID("crossing"))
 	release()
-	front.completeNext()
+	frontEnd.completeNext()
 	checkStatus(t, "the crossing request", reader, 200)
 }
--- a/internal/membership/acktracker.go
+++ b/internal/membership/acktracker.go
@@ -7,7 +7,7 @@
 )
 
 // AckTracker holds the version that each subscriber acknowledged last, and
-// forgets subscribers that have been silent for longer than the expiry. A relay
+// removes subscribers that have been silent for longer than the expiry. A relay
 // acknowledges on behalf of all subscribers below it, with the lowest of their
 // versions.
 //
@@ -33,7 +33,7 @@
 	previous, next *acknowledgement // in the list ordered by lastSeen
 }
 
-// NewAckTracker returns a tracker that forgets subscribers that have been silent
+// NewAckTracker returns a tracker that removes subscribers that have been silent
 // for longer than expiry.
 func NewAckTracker(expiry time.Duration) *AckTracker {
 	return &AckTracker{expiry: expiry, byName: map[string]*acknowledgement{}}
--- a/internal/membership/log.go
+++ b/internal/membership/log.go
@@ -45,7 +45,7 @@
 	s.logLength--
 }
 
-// trim drops the oldest entries beyond the log's limit. A deleted key is forgotten
+// trim drops the oldest entries beyond the log's limit. A deleted key is removed
 // with its entry.
 func (s *Store) trim() {
 	for s.logLength > s.logLimit {
--- a/internal/workerclient/clientleaves_test.go
+++ b/internal/workerclient/clientdisconnect_test.go
@@ -15,7 +15,7 @@
 // attempt must not be sent.
 
 // The client closes just before the first attempt of its request would be started.
-func TestClientLeavesBeforeFirstAttempt(t *testing.T) {
+func TestClientDisconnectsBeforeFirstAttempt(t *testing.T) {
 	for _, trailingBytes := range []int{0, 300} {
 		stack := newStack(t, 1, withRetries)
 		release := stack.blockLoop()
@@ -29,7 +29,7 @@
 }
 
 // The client closes while its request waits for another request with the same key, just before that one ends.
-func TestClientLeavesWhileSerialized(t *testing.T) {
+func TestClientDisconnectsWhileSerialized(t *testing.T) {
 	stack := newStack(t, 1, func(settings *decision.Settings) { settings.Classes[testkit.StatusCheck].Serialized = true })
 	stack.connectClient("id000001", 0)
 	workerConn := stack.workers[0].Accept()
@@ -49,7 +49,7 @@
 }
 
 // The client closes while the connection to the worker is being opened.
-func TestClientLeavesDuringDial(t *testing.T) {
+func TestClientDisconnectsDuringDial(t *testing.T) {
 	stack := newStack(t, 1, withRetries)
 	loopBlocked := make(chan struct{})
 	released := make(chan struct{})
@@ -77,7 +77,7 @@
 }
 
 // The client closes just before the failure of an attempt is handled, after which a retry would be sent.
-func TestClientLeavesBeforeRetry(t *testing.T) {
+func TestClientDisconnectsBeforeRetry(t *testing.T) {
 	for _, trailingBytes := range []int{0, 300} {
 		stack := newStack(t, 2, withRetries)
 		client := stack.connectClient("id000001", trailingBytes)
@@ -94,7 +94,7 @@
 }
 
 // The client closes just before a hedge would be sent because the worker has not started the first attempt.
-func TestClientLeavesBeforeHedge(t *testing.T) {
+func TestClientDisconnectsBeforeHedge(t *testing.T) {
 	stack := newStack(t, 2, func(settings *decision.Settings) {
 		settings.MaxAttempts = 3
 		settings.Hedging = true
@@ -111,7 +111,7 @@
 }
 
 // The client closes while the last byte of its request is held back.
-func TestClientLeavesBeforeLastByte(t *testing.T) {
+func TestClientDisconnectsBeforeLastByte(t *testing.T) {
 	stack := newStack(t, 1, withRetries)
 	holdLastBytes(stack.Rig, stack.client, 200*time.Millisecond)
 	client := stack.connectClient("id000001", 0)
--- a/internal/workerclient/overtakenattempt_test.go
+++ b/internal/workerclient/delayedattempt_test.go
@@ -11,7 +11,7 @@
 // Guards against a deduplicated request that runs twice. The first attempt was delayed and a later attempt was sent
 // before it. The first attempt had no time limit for being sent, so it could be sent after the dedup window of the
 // later one, when workers no longer recognized it as a duplicate.
-func TestOvertakenAttemptIsNotSentAfterDedupWindow(t *testing.T) {
+func TestDelayedAttemptIsNotSentAfterDedupWindow(t *testing.T) {
 	const window = 600 * time.Millisecond
 	const lastByteDelay = 2 * time.Second
 	rig := testkit.NewRig(t, withDeduplicatedClass(window, 100*time.Millisecond), func(settings *decision.Settings) {
--- a/internal/workerclient/sendguard_test.go
+++ b/internal/workerclient/sendguard_test.go
@@ -103,8 +103,8 @@
 // even if the settings do not allow attempts to be cancelled.
 func TestCompletedRequestIsNotSent(t *testing.T) {
 	for name, end := range map[string]func(*testkit.Rig, uint64){
-		"its client left":   func(rig *testkit.Rig, handle uint64) { rig.Dispatcher.Cancel(handle) },
-		"it has a response": func(rig *testkit.Rig, _ uint64) { rig.Dispatcher.ExpireAll() },
+		"its client disconnected": func(rig *testkit.Rig, handle uint64) { rig.Dispatcher.Cancel(handle) },
+		"it has a response":       func(rig *testkit.Rig, _ uint64) { rig.Dispatcher.ExpireAll() },
 	} {
 		t.Run(name+", connecting", func(t *testing.T) {
 			request := newDelayedRequest(t, testkit.Listen(t), end)
@@ -119,7 +119,7 @@
 			if text := request.readSent(request.worker.Accept()); len(text) > 0 {
 				t.Errorf("%d bytes were sent of a request that has ended", len(text))
 			}
-			request.waitForForgotten()
+			request.waitForCleanup()
 		})
 		t.Run(name+", last byte held", func(t *testing.T) {
 			request := newDelayedRequest(t, testkit.Listen(t), end)
@@ -187,7 +187,7 @@
 	if text := d.readSent(conn); sentEntirely(text) {
 		d.t.Errorf("%d bytes were sent of a request that has ended", len(text))
 	}
-	d.waitForForgotten()
+	d.waitForCleanup()
 }
 
 // readSent waits until the request has ended, and returns the part of it that the worker has received.
@@ -201,11 +201,11 @@
 	return text
 }
 
-// waitForForgotten waits until neither the dispatcher nor the client has state for the request.
-func (d *delayedRequest) waitForForgotten() {
+// waitForCleanup waits until neither the dispatcher nor the client has state for the request.
+func (d *delayedRequest) waitForCleanup() {
 	d.t.Helper()
-	testkit.Until(d.t, "the request is forgotten", func() (forgotten bool) {
-		d.rig.Do(func() { forgotten = d.rig.Dispatcher.Unanswered() == 0 && len(d.client.connections) == 0 })
-		return forgotten
+	testkit.Until(d.t, "the request has no state left", func() (cleaned bool) {
+		d.rig.Do(func() { cleaned = d.rig.Dispatcher.Unanswered() == 0 && len(d.client.connections) == 0 })
+		return cleaned
 	})
 }
