--- a/decision/admission.go
+++ b/decision/admission.go
@@ -11,7 +11,7 @@
 	maxWorkDeadlines = 10            // a hint of the work is capped at this multiple of the class's deadline
 )
 
-// handleArrival decides whether a request is admitted: its class must be known, an answer must still have a
+// handleArrival decides whether a request is admitted: its class must be known, a response must still have a
 // value that covers the prices, and the request must not delay others for little value (see delaysOthers). An
 // admitted request waits in the queue, which Handle dispatches after each event.
 func (m *Machine) handleArrival(event Event) {
@@ -78,7 +78,7 @@
 
 // newRequest returns the request that an arrival describes, and updates the mean work of its class from its
 // hint. The request's deadline is two ticks before the client's: one tick for the timer, one for the
-// transmission of the answer.
+// transmission of the response.
 func (m *Machine) newRequest(event *Event) *request {
 	request := &request{id: event.Request, class: &m.settings.Classes[event.Class], slots: 1}
 	request.deadline = m.now + min(event.TimeLeft, request.class.Deadline) - 2*m.settings.Tick
@@ -112,7 +112,7 @@
 	return max(longest-event.TimeLeft, 0)
 }
 
-// hasNoValue reports whether an answer to the request would no longer earn anything.
+// hasNoValue reports whether a response to the request would no longer earn anything.
 func (m *Machine) hasNoValue(request *request) bool {
 	return m.now >= request.objective && request.class.LateWeight <= 0
 }
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -214,7 +214,7 @@
 	}
 }
 
-// adjustCeilings raises the ceilings for an answer in time and cuts them, at most once per request, for a
+// adjustCeilings raises the ceilings for a response in time and cuts them, at most once per request, for a
 // bad outcome. The failure of a request's first attempt counts against its worker only; the failure of a
 // later attempt counts against the fleet. An attempt that was never sent says nothing about either.
 func (m *Machine) adjustCeilings(request *request, attempt *attempt, outcome AttemptOutcome) {
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -34,7 +34,7 @@
 //
 //   - Assign starts the next attempt of a request. Attempts of a request are numbered from 0 in the order
 //     of their Assign actions; AttemptEnded names that number, also for an attempt that could not be sent.
-//   - Reject and Fail are final answers. CancelAttempt cancels one attempt, which still ends with
+//   - Reject and Fail are final responses. CancelAttempt cancels one attempt, which still ends with
 //     AttemptEnded.
 //   - SetTimer, CheckHealth, Subscribe and CloseIdle ask for what their names say; Log carries a message for
 //     operators.
@@ -53,7 +53,7 @@
 //     disconnect of its client. Reject and Fail come at least two ticks before the deadline, provided that
 //     timers fire on time.
 //   - Reject promises that a repeat by the client is safe. If a repeat could have an effect a second time,
-//     the answer is Fail.
+//     the response is Fail.
 //   - A NonIdempotent request is never sent again after an attempt that may have run; a Deduplicated one
 //     only to a worker that discards the repeat, and within the DedupWindow.
 //   - A worker gets no Assign while, according to the events so far, it is draining, removed or suspended,
--- a/decision/event.go
+++ b/decision/event.go
@@ -39,7 +39,7 @@
 	ClientRetry bool          // the client marked the request as a retry
 	Key         string        // identifies what the request concerns; may be empty
 	Outcome     AttemptOutcome
-	Answered    bool // the request has its final answer
+	Answered    bool // the request has its final response
 	Load        LoadReport
 	Fraction    float64 // fraction of the work that is done, 0 to 1
 	Reservation float64 // amount taken from a worker's slow-start budget, in hinted slot-seconds
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -107,7 +107,7 @@
 		m.handleProgress(event)
 	case HealthChecked:
 		m.recordLoad(event)
-	case FirstByte, ClientDisconnected: // the client has its answer, or no longer needs one
+	case FirstByte, ClientDisconnected: // the client has its response, or no longer needs one
 		if request := m.requests[event.Request]; request != nil {
 			m.finish(request)
 		}
--- a/decision/request.go
+++ b/decision/request.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// request is a client's request. It is kept until it has its answer and all its attempts have ended.
+// request is a client's request. It is kept until it has its response and all its attempts have ended.
 type request struct {
 	id            uint64
 	class         *Class
 	slots         float64
 	work          float64 // hinted run time in seconds, or without a hint the recent mean of its class
 	classMeanWork float64 // recent mean run time of its class when it arrived, seconds
-	value         float64 // what an answer earns now
+	value         float64 // what a response earns now
 	cost          float64 // slots times work: slot-seconds
 	holdTime      float64 // hinted run time in seconds; 0 without a hint, so that no slot price applies
 	objective     time.Duration
@@ -25,7 +25,7 @@
 	queued        bool // it waits in the queue
 	late          bool // it will probably miss its objective
 	countedAsBad  bool // it was already counted as a bad outcome for the ceilings
-	ended         bool // it has its answer, or no longer needs one
+	ended         bool // it has its response, or no longer needs one
 }
 
 // maxUnsentAttempts is how many attempts that were never sent are not counted toward a request's
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -77,7 +77,7 @@
 }
 
 // retry queues a request whose attempts have failed for another one, if its class and the retry budget allow
-// it; otherwise it gives the final answer. From the third attempt on, attempts are spread over the time
+// it; otherwise it gives the final response. From the third attempt on, attempts are spread over the time
 // left, so that they are not all used up in a burst while workers are full.
 func (m *Machine) retry(request *request) {
 	made := request.attemptsMade()
@@ -94,7 +94,7 @@
 	m.queue.add(request)
 }
 
-// rejectOrFail gives a request its final answer: Reject if a repeat by the client is safe, else Fail. A
+// rejectOrFail gives a request its final response: Reject if a repeat by the client is safe, else Fail. A
 // rejected client is told to wait for about a mean latency, within which, by Little's law, a slot becomes
 // free.
 func (m *Machine) rejectOrFail(request *request) {
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// dedupAnswers are the final answers to a Deduplicated request that may have run and whose DedupWindow is
+// dedupAnswers are the final responses to a Deduplicated request that may have run and whose DedupWindow is
 // over: it is rejected if its DedupScope includes all workers, so that the client may repeat it, and failed
 // otherwise.
 var dedupAnswers = map[DedupScope]ActionKind{
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -34,12 +34,12 @@
 	return s == DedupEverywhere || a.Zone == b.Zone && (s == DedupWithinZone || a.Cell == b.Cell)
 }
 
-// Class describes one class of requests. An answer within the latency objective, LatencyObjective +
+// Class describes one class of requests. A response within the latency objective, LatencyObjective +
 // ObjectiveStretch * work after the first try, earns PriorityWeight; a later one earns LateWeight of it.
 type Class struct {
 	Name             string  // for logs and protocols; no decision depends on it
-	PriorityWeight   float64 // what an answer within the latency objective earns
-	LateWeight       float64 // fraction of PriorityWeight that a later answer earns
+	PriorityWeight   float64 // what a response within the latency objective earns
+	LateWeight       float64 // fraction of PriorityWeight that a later response earns
 	LatencyObjective time.Duration
 	ObjectiveStretch float64       // if this and LatencyObjective are 0, the objective is Deadline
 	Deadline         time.Duration // how long a client waits in total
@@ -49,7 +49,7 @@
 	Kinds            []int         // the only machine kinds that may run the class; nil: any
 	Zones            []int         // the only zones in which the class may run; nil: any
 	Serialized       bool          // requests of such classes with the same key run one at a time, by arrival
-	Streaming        bool          // the answer is a stream, whose beginning FirstByte reports
+	Streaming        bool          // the response is a stream, whose beginning FirstByte reports
 }
 
 // mayRunOn reports whether the class may run on a worker, by the worker's kind and zone in the latest list.
@@ -105,7 +105,7 @@
 
 	ZoneNames      []string      // names of zones by their number
 	KindNames      []string      // names of machine kinds by their number
-	FreeSlotsField string        // name of the load report's field with the free slots; empty if there is none
+	FreeSlotsField string        // name of the load report's field with the free slots; empty: there is none
 	DrainGrace     time.Duration // how long a worker may still be sent to after it is known to be draining
 }
 
@@ -114,8 +114,8 @@
 // still serve that many.
 const manyDispatchersThreshold = 8
 
-// ManyDispatchers reports whether there are so many dispatchers that their calls for the endpoint list must be
-// spread over time. Until its first call, a dispatcher uses the initial endpoint list.
+// ManyDispatchers reports whether there are so many dispatchers that their calls for the endpoint list must
+// be spread over time. Until its first call, a dispatcher uses the initial endpoint list.
 func (s *Settings) ManyDispatchers() bool { return s.Peers > manyDispatchersThreshold }
 
 // normalize checks the settings and replaces zero values that are not usable. It does not modify the
--- a/decision/simulation_test.go
+++ b/decision/simulation_test.go
@@ -16,7 +16,7 @@
 	now           time.Duration
 	listed        map[string]Endpoint // each worker as last listed, including removed ones
 	names         []string
-	stall         time.Duration // longest stall of the process whose late answers must be tolerated
+	stall         time.Duration // longest stall of the process whose late responses must be tolerated
 	requests      map[uint64]*simRequest
 	arrivalOrder  []uint64
 	nextID        uint64
@@ -217,7 +217,7 @@
 	return events
 }
 
-// checkAllAnswered checks that each request whose deadline has passed, with some tolerance, has its answer.
+// checkAllAnswered checks that each request whose deadline has passed, with some tolerance, has its response.
 func (s *simulation) checkAllAnswered() {
 	for _, id := range s.arrivalOrder {
 		if request := s.requests[id]; !request.answered && s.now >= request.deadline+answerSlack+s.stall {
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -76,7 +76,7 @@
 	return m.now+seconds(request.work)+m.sweepInterval >= request.objective
 }
 
-// markLate marks a request that will probably be late, and lowers its value to that of a late answer. The
+// markLate marks a request that will probably be late, and lowers its value to that of a late response. The
 // request is rejected at once if it waits while capacity is scarce, or if it delays others.
 //
 // If starts are reported, an attempt that has not started by now indicates overload, much earlier than its
@@ -111,8 +111,8 @@
 }
 
 // delaysOthers reports whether a request would delay others in its worker's queue for little value: it will
-// probably be late, has not started, and a late answer to it earns nothing. While many outcomes are bad, it
-// is enough that a late answer earns less than one in time, if the request is Idempotent.
+// probably be late, has not started, and a late response to it earns nothing. While many outcomes are bad, it
+// is enough that a late response earns less than one in time, if the request is Idempotent.
 func (m *Machine) delaysOthers(request *request) bool {
 	earnsNothing := request.class.LateWeight <= 0
 	repeatable := request.class.Idempotency == Idempotent && request.class.LateWeight < 1
--- a/decision/sweep_test.go
+++ b/decision/sweep_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// settingsWithoutHints returns settings for clients that send no hints, with classes whose late answers earn
-// nothing.
+// settingsWithoutHints returns settings for clients that send no hints, with classes whose late responses
+// earn nothing.
 func settingsWithoutHints() Settings {
 	settings := testSettings()
 	settings.StartNotices = true
--- a/decision/timer.go
+++ b/decision/timer.go
@@ -10,7 +10,7 @@
 	cooldownTimer  = sweepTimer + 2 // a key's cooldown is over; as after each event, the queue is dispatched
 )
 
-// handleTimer handles a timer that has fired. At its deadline a request gets its final answer, even if
+// handleTimer handles a timer that has fired. At its deadline a request gets its final response, even if
 // attempts are outstanding.
 func (m *Machine) handleTimer(id uint64) {
 	switch id {
--- a/internal/discovery/acknowledgement.go
+++ b/internal/discovery/acknowledgement.go
@@ -66,7 +66,7 @@
 
 // acknowledge polls the server in use for changes after the version in force, which acknowledges that version. While
 // the content of a rejected change is missing, one poll in each repairInterval continues from completeThrough instead,
-// so that the answer contains what is missing.
+// so that the response contains what is missing.
 func (f *membershipFollower) acknowledge() {
 	state := &f.acknowledgement
 	state.scheduled = false
@@ -91,8 +91,8 @@
 	return idleAcknowledgeInterval
 }
 
-// onAcknowledged applies the answer to an acknowledgement. The answer may contain changes that have not arrived on the
-// watch yet.
+// onAcknowledged applies the response to an acknowledgement. The response may contain changes that have not arrived on
+// the watch yet.
 func (s *subscription) onAcknowledged(change membershipChange, err error) {
 	follower := s.follower
 	if err != nil {
--- a/internal/discovery/acknowledgement_test.go
+++ b/internal/discovery/acknowledgement_test.go
@@ -52,7 +52,7 @@
 	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged >= 2 })
 }
 
-// After a rejected change, only the version before it is acknowledged as in force until the answer to a poll contains
+// After a rejected change, only the version before it is acknowledged as in force until the response to a poll contains
 // what is missing.
 func TestRepairAfterRejectedChange(t *testing.T) {
 	server := newServer(t)
--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -15,7 +15,7 @@
 const initialListTimeout = time.Second
 
 // initialEndpoints is the endpoint list that was given at the start. It is withheld from the dispatcher until the source
-// answers or the timeout expires. If the first answer is a delta, it is merged into the list, and both are published
+// answers or the timeout expires. If the first response is a delta, it is merged into the list, and both are published
 // together.
 type initialEndpoints struct {
 	entries map[string]decision.Endpoint // by worker name; nil if no list is withheld
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -9,7 +9,7 @@
 
 // By the protocol, a dispatcher counts as notified of a change once discovery has had the change and been reachable for
 // freshness.NotificationBound, even if the calls in that time failed. Discovery may have become reachable just after the
-// last contact or failed call. The next call therefore begins early enough for its answer to arrive within the bound
+// last contact or failed call. The next call therefore begins early enough for its response to arrive within the bound
 // counted from that moment, even if the dispatcher would wait longer.
 const (
 	// Discovery handles calls in turn, and a call is answered or fails after 2 s; the rest is for transit.
@@ -44,7 +44,7 @@
 	return max(w.registry.dispatcher.Settings.DrainGrace/agentBackoffFraction, minAgentWait)
 }
 
-// scheduleCall schedules the next call for a loop time, or starts it at once if that time has passed. A call that is
+// scheduleCall schedules the next call for a clock time, or starts it at once if that time has passed. A call that is
 // already scheduled for an earlier time stays.
 func (w *watch) scheduleCall(at time.Duration) {
 	loop := w.registry.dispatcher.Loop
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -17,7 +17,7 @@
 // These tests check that the discovery watch keeps to the protocol's bound: whatever the settings are, a change counts as
 // notified once discovery has had it and been reachable for 6 s.
 
-// checkNextCall checks, on the loop's goroutine, that an answer to the next call fits into the notification bound,
+// checkNextCall checks, on the loop's goroutine, that a response to the next call fits into the notification bound,
 // counted from the last contact.
 func (w *watch) checkNextCall(t *testing.T) {
 	t.Helper()
@@ -34,8 +34,8 @@
 	}
 }
 
-// A call that is never answered or a watch that goes silent, the least backoff after it, and the answer to the next call
-// must together fit into the notification bound.
+// A call that is never answered or a watch that goes silent, the least backoff after it, and the response to the next
+// call must together fit into the notification bound.
 func TestTimeoutsFitNotificationBound(t *testing.T) {
 	for _, silence := range []time.Duration{watchCallTimeout, watchLineTimeout} {
 		if sum := silence + minBackoff + answerTimeout; sum > freshness.NotificationBound {
@@ -79,7 +79,7 @@
 }
 
 // checkReconnect checks that a dispatcher whose first call is ended by endCall schedules the next one in time, and
-// applies its answer.
+// applies its response.
 func checkReconnect(t *testing.T, rig *testkit.Rig, endCall func(discoveryCall)) {
 	t.Helper()
 	addr, calls := listenForCalls(t)
@@ -202,7 +202,7 @@
 	}
 }
 
-// answerAgentCalls answers calls with laterSnapshot until an answer has arrived before the timeout of its call.
+// answerAgentCalls answers calls with laterSnapshot until a response has arrived before the timeout of its call.
 func answerAgentCalls(t *testing.T, rig *testkit.Rig, registry *Registry, calls chan discoveryCall) {
 	t.Helper()
 	call := testkit.Receive(t, calls)
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A compressed answer to a poll is also read if the server closes the connection after it.
+// A compressed response to a poll is also read if the server closes the connection after it.
 func TestCompressedAnswerBeforeClose(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -140,7 +140,7 @@
 	return s.poll.body.append(piece, s.poll.conn.response.remaining)
 }
 
-// onCaughtUp applies the answer to the poll that catches up, and opens a watch that continues from it.
+// onCaughtUp applies the response to the poll that catches up, and opens a watch that continues from it.
 func (s *subscription) onCaughtUp(change membershipChange, err error) {
 	follower := s.follower
 	inForce := follower.inForce.version
@@ -165,7 +165,7 @@
 	}
 }
 
-// detectIgnoredVersion sets ignoresVersion if the answer to a poll is a snapshot of the very version polled from.
+// detectIgnoredVersion sets ignoresVersion if the response to a poll is a snapshot of the very version polled from.
 func (s *subscription) detectIgnoredVersion(change membershipChange) {
 	if s.poll.after > 0 && change.snapshot && change.version == s.poll.after {
 		s.ignoresVersion = true
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,7 +16,7 @@
 	watchConnectTimeout = time.Second
 	watchCallTimeout    = 3 * time.Second // from its start to the first line; discovery handles calls in turn
 	watchLineTimeout    = 3 * time.Second // between lines; one comes every 2 s at the latest
-	watchPartTimeout    = time.Second     // between the parts of an incomplete answer or line
+	watchPartTimeout    = time.Second     // between the parts of an incomplete response or line
 
 	// unreadDataGrace extends a timeout once if bytes have arrived that the loop, running late, has yet to read.
 	unreadDataGrace = 10 * time.Millisecond
@@ -52,10 +52,10 @@
 	calling     bool
 	conn        *transport.Conn // nil until connected
 	response    responseReader
-	established bool // the first line of the answer has arrived
+	established bool // the first line of the response has arrived
 	splitter    objectSplitter
 
-	deadline        time.Duration // the latest time to which a partial answer may move the timeout
+	deadline        time.Duration // the latest time to which a partial response may move the timeout
 	timeoutExtended bool          // by unreadDataGrace
 }
 
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// errCallReplaced stops the reading of an answer if applying one of its lines has ended the call, as a move to another
+// errCallReplaced stops the reading of a response if applying one of its lines has ended the call, as a move to another
 // address does. It is never reported.
 var errCallReplaced = errors.New("the call was ended by a line of its answer")
 
@@ -37,8 +37,8 @@
 	w.limitPartialAnswer()
 }
 
-// limitPartialAnswer shortens the timeout while the answer's first line or the rest of a line is outstanding, so that a
-// call that breaks off leaves time for another one within the notification bound.
+// limitPartialAnswer shortens the timeout while the response's first line or the rest of a line is outstanding, so that
+// a call that breaks off leaves time for another one within the notification bound.
 func (w *watch) limitPartialAnswer() {
 	if !w.response.headRead || w.established && !w.midLine() {
 		return
@@ -50,7 +50,7 @@
 // midLine reports whether a line has begun and not ended.
 func (w *watch) midLine() bool { return w.splitter.midObject() || w.response.chunks.MidChunk() }
 
-// acceptHead implements responseConsumer: the answer must be a stream with status 200.
+// acceptHead implements responseConsumer: the response must be a stream with status 200.
 func (w *watch) acceptHead(head *httpwire.Head) (bodyFraming, error) {
 	if status, _ := head.Status(); status != httpwire.StatusOK {
 		return bodyFraming{}, statusError(status)
--- a/internal/discovery/worker.go
+++ b/internal/discovery/worker.go
@@ -12,7 +12,7 @@
 	Name       string
 	Address    string // host:port
 	State      decision.WorkerState
-	StateSince time.Duration // loop time at which State was learned
+	StateSince time.Duration // clock time at which State was learned
 
 	endpoint          endpoint // as listed
 	evidence          freshness.HealthEvidence
@@ -20,7 +20,7 @@
 	suspended         bool          // the dispatcher sends it nothing
 }
 
-// HealthCheckPassed reports that a worker has passed a health check that was sent at loop time sentAt.
+// HealthCheckPassed reports that a worker has passed a health check that was sent at clock time sentAt.
 func (r *Registry) HealthCheckPassed(worker *Worker, sentAt time.Duration) {
 	worker.healthConfirmedAt = sentAt
 }
--- a/internal/durable/scheduler.go
+++ b/internal/durable/scheduler.go
@@ -39,7 +39,7 @@
 }
 
 // Scheduler queues runnable jobs by class and passes them to the dispatcher, one for each free slot; the decision
-// module then picks the worker or rejects the job. A job is passed to the dispatcher again only after the dispatcher
+// machine then picks the worker or rejects the job. A job is passed to the dispatcher again only after the dispatcher
 // has responded. Jobs in the queues of the Scheduler put no load on the dispatcher.
 type Scheduler struct {
 	service    *Service
--- a/internal/faktory/classset.go
+++ b/internal/faktory/classset.go
@@ -20,7 +20,7 @@
 func (s classSet) with(class int) classSet { return s | 1<<class }
 
 // AddWorkerKinds adds worker kinds to the settings, one for each classSet: kind
-// len(KindNames)+set runs the classes of set. With these, the decision module
+// len(KindNames)+set runs the classes of set. With these, the decision machine
 // itself never assigns a job to a worker that does not fetch its queue.
 func AddWorkerKinds(settings *decision.Settings) error {
 	if len(settings.Classes) > maxClasses {
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -70,7 +70,8 @@
 	return strings.Join(parts, " ")
 }
 
-// expectSince checks the answer of a store to a subscriber at version after. want is in the form of describe.
+// expectSince checks the response of a store to a subscriber at version after. want is in
+// the form of describe.
 func expectSince(t *testing.T, store *Store, after Version, want string) {
 	t.Helper()
 	change, ok := store.Since(after)
--- a/internal/membership/tree_test.go
+++ b/internal/membership/tree_test.go
@@ -181,7 +181,8 @@
 	}
 }
 
-// requestMissing returns the answer of a server to a single request of a node for the changes after its resume version.
+// requestMissing returns the response of a server to a single request of a node for the
+// changes after its resume version.
 func (tr *simulatedTree) requestMissing(n *treeNode, s versionServer) *lineInFlight {
 	after := n.store.ResumeVersion()
 	c, ok := s.currentStore().Since(after)
@@ -369,7 +370,8 @@
 	}
 }
 
-// sendMissing sends the answer to a single request of a node for the changes after its resume version.
+// sendMissing sends the response to a single request of a node for the changes after its
+// resume version.
 func (tr *simulatedTree) sendMissing(t *rapid.T) {
 	node := tr.drawNode(t)
 	answer := tr.requestMissing(node, rapid.SampledFrom(node.servers).Draw(t, "server"))
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -87,7 +87,7 @@
 	reply            chan callReply
 }
 
-// callReply contains the answer to a single call, or the reason why there is none.
+// callReply contains the response to a single call, or the reason why there is none.
 type callReply struct {
 	change *encodedChange
 	err    error
--- a/internal/relay/scripted_upstream_test.go
+++ b/internal/relay/scripted_upstream_test.go
@@ -73,7 +73,7 @@
 // address returns the address where the upstream listens.
 func (u *scriptedUpstream) address() string { return u.listener.Addr().String() }
 
-// setAnswer sets the function that returns the answers to single calls.
+// setAnswer sets the function that returns the responses to single calls.
 func (u *scriptedUpstream) setAnswer(answer func(url.Values) string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -133,7 +133,7 @@
 	}
 }
 
-// recordCall records a single call and returns the body of its answer.
+// recordCall records a single call and returns the body of its response.
 func (u *scriptedUpstream) recordCall(query url.Values) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// answerCall returns the answer to a single call.
+// answerCall returns the response to a single call.
 func (s *state) answerCall(name string, after membership.Version) (*encodedChange, error) {
 	now := s.now()
 	if err := s.checkAvailable(after); err != nil {
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -6,7 +6,7 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// Status is the answer to GET /control/membership of the admin API.
+// Status is the response to GET /control/membership of the admin API.
 type Status struct {
 	Name          string             `json:"name"`
 	Zone          string             `json:"zone"`
