--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An attempt needs the concurrency ceiling, the token bucket and a worker. If one of them does not admit it, nothing
-// may remain reserved at the others.
+// An attempt needs the concurrency ceiling, the token bucket and a worker. If one of them does not admit it,
+// nothing may remain reserved at the others.
 
 func TestConcurrencyCeilingBoundsSlotsInFlight(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -20,7 +20,7 @@
 // endpointList is the state of the endpoint list itself; the workers that it names are in Machine.workers.
 type endpointList struct {
 	snapshots     uint64          // number of complete lists so far
-	nominalWeight map[int]float64 // the largest weight seen, by machine kind
+	nominalWeight map[int]float64 // the largest weight seen, by worker kind
 	backoff       time.Duration   // backoff after the latest call for the list; 0 if that call did not fail
 }
 
--- a/decision/estimates.go
+++ b/decision/estimates.go
@@ -23,7 +23,7 @@
 	meanStartWait    float64         // recent mean wait for a start at workers, seconds
 	classMeanWork    []float64       // recent mean run time by class, seconds, hinted or learned
 	learnedRuns      []float64       // attempts without a hint that classMeanWork was learned from, by class
-	kindRunTimeRatio map[int]float64 // mean runTimeRatio of workers, by machine kind
+	kindRunTimeRatio map[int]float64 // mean runTimeRatio of workers, by worker kind
 	maxTimeLeft      []time.Duration // the longest TimeLeft of an arrival, by class: that of a first try
 }
 
--- a/decision/event.go
+++ b/decision/event.go
@@ -126,7 +126,7 @@
 type Endpoint struct {
 	Name      string // identity and address
 	Zone      int
-	Kind      int // machine kind
+	Kind      int // worker kind
 	Cell      int // deduplication cell within the zone
 	State     WorkerState
 	StartedAt time.Duration // time of the last start, on the time scale of Handle; 0: long ago
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -7,7 +7,7 @@
 
 // maxQueueSkips is how many waiting requests of a class are tried without success in one pass over the
 // queue. Without this limit, requests that no worker can take, for example because there is no worker of
-// their machine kind, would all be tried at each event.
+// their kinds, would all be tried at each event.
 const maxQueueSkips = 8
 
 // requestQueue holds the requests that wait for a worker.
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -7,7 +7,7 @@
 
 // Requests for a kind of worker that no longer exists must not block the head of the queue, so that later
 // requests are not tried.
-func TestRequestsWithoutAWorkerHoldUpNoOthers(t *testing.T) {
+func TestRequestsWithoutAWorkerBlockNoOthers(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1] = Class{
 		PriorityWeight:   9,
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// dedupAnswers are the final responses to a Deduplicated request that may have run and whose DedupWindow is
+// dedupOutcomes are the final responses to a Deduplicated request that may have run and whose DedupWindow is
 // over: it is rejected if its DedupScope includes all workers, so that the client may repeat it, and failed
 // otherwise.
-var dedupAnswers = map[DedupScope]ActionKind{
+var dedupOutcomes = map[DedupScope]ActionKind{
 	DedupEverywhere: Reject,
 	DedupWithinZone: Fail,
 	DedupWithinCell: Fail,
@@ -56,7 +56,7 @@
 }
 
 func TestWaitingRequestIsAnsweredAtTheEndOfItsDedupWindow(t *testing.T) {
-	for scope, want := range dedupAnswers {
+	for scope, want := range dedupOutcomes {
 		rig, id := newDedupRig(t, scope)
 		sent := rig.requests[id].attempts[0].assignedAt
 		for _, worker := range rig.fleet {
@@ -80,7 +80,7 @@
 
 // A retry is sent within the dedup window, and its worker rejects it after the window.
 func TestRetryThatEndsAfterTheDedupWindowIsAnsweredAtOnce(t *testing.T) {
-	for scope, want := range dedupAnswers {
+	for scope, want := range dedupOutcomes {
 		rig, id := newDedupRig(t, scope)
 		sent := rig.requests[id].attempts[0].assignedAt
 		rig.endAttempt(id, 0, Failed, 100*time.Millisecond)
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -178,5 +178,5 @@
 	}
 }
 
-// answerSlack is how long after its deadline a request may still be answered.
-const answerSlack = 8 * time.Millisecond
+// responseSlack is how long after its deadline a request may still be answered.
+const responseSlack = 8 * time.Millisecond
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -46,7 +46,7 @@
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for Deduplicated
 	DedupWindow      time.Duration // for Deduplicated: how long the workers remember a request
-	Kinds            []int         // the only machine kinds that may run the class; nil: any
+	Kinds            []int         // the only worker kinds that may run the class; nil: any
 	Zones            []int         // the only zones in which the class may run; nil: any
 	Serialized       bool          // requests of such classes with the same key run one at a time, by arrival
 	Streaming        bool          // the response is a stream, whose beginning FirstByte reports
@@ -104,7 +104,7 @@
 	// The following fields are for the code that carries out the actions; no decision depends on them.
 
 	ZoneNames      []string      // names of zones by their number
-	KindNames      []string      // names of machine kinds by their number
+	KindNames      []string      // names of worker kinds by their number
 	FreeSlotsField string        // name of the load report's field with the free slots; empty: there is none
 	DrainGrace     time.Duration // how long a worker may still be sent to after it is known to be draining
 }
--- a/decision/simulation_test.go
+++ b/decision/simulation_test.go
@@ -220,7 +220,7 @@
 // checkAllAnswered checks that each request whose deadline has passed, with some tolerance, has its response.
 func (s *simulation) checkAllAnswered() {
 	for _, id := range s.arrivalOrder {
-		if request := s.requests[id]; !request.answered && s.now >= request.deadline+answerSlack+s.stall {
+		if request := s.requests[id]; !request.answered && s.now >= request.deadline+responseSlack+s.stall {
 			s.t.Fatalf("no answer after the deadline: %+v", request)
 		}
 	}
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -143,7 +143,7 @@
 	scanWorkersPerSweep = 2048
 )
 
-// warmWorkRates is the work per second that a warm worker takes from this dispatcher: the mean by machine
+// warmWorkRates is the work per second that a warm worker takes from this dispatcher: the mean by worker
 // kind, and the smallest rate of all workers.
 type warmWorkRates struct {
 	byKind    map[int]float64 // by the latest complete scan
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -20,13 +20,13 @@
 }
 
 // The next attempt is started once an attempt has had no connection for connectStagger, or no response for
-// answerStagger. The earlier attempt continues in parallel, and the first one to catch up is used. connectStagger covers
-// a round trip between regions, answerStagger a server that is busy.
+// responseStagger. The earlier attempt continues in parallel, and the first one to catch up is used. connectStagger
+// covers a round trip between regions, responseStagger a server that is busy.
 const (
-	connectStagger = 150 * time.Millisecond
-	answerStagger  = 500 * time.Millisecond
-	receiveStagger = 3 * time.Second // how long a response that has begun to arrive delays the next attempt
-	maxReceiving   = 2               // while this many responses are arriving, no further attempt is started
+	connectStagger  = 150 * time.Millisecond
+	responseStagger = 500 * time.Millisecond
+	receiveStagger  = 3 * time.Second // how long a response that has begun to arrive delays the next attempt
+	maxReceiving    = 2               // while this many responses are arriving, no further attempt is started
 )
 
 // followerRandomStream is the PCG stream of the jitter, which makes it independent of other streams with the same seed.
@@ -125,7 +125,7 @@
 		return exclusive
 	}
 	if receiving >= maxReceiving {
-		return answerStagger
+		return responseStagger
 	}
 	server, wait := f.selector.Next(now)
 	if wait > 0 {
@@ -139,14 +139,14 @@
 // before the next call, or 0 if no server is preferred.
 func (f *membershipFollower) attemptPreferred(now time.Duration) time.Duration {
 	if len(f.candidates) > 0 {
-		return answerStagger
+		return responseStagger
 	}
 	server, wait, ok := f.selector.NextPreferred(now, f.active.server.Address)
 	if !ok || wait > 0 {
 		return wait
 	}
 	f.beginAttempt(server, now)
-	return answerStagger
+	return responseStagger
 }
 
 // beginAttempt subscribes to a server as a candidate.
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -13,8 +13,8 @@
 // counted from that moment, even if the dispatcher would wait longer.
 const (
 	// Discovery handles calls in turn, and a call is answered or fails after 2 s; the rest is for transit.
-	answerTimeout     = 2200 * time.Millisecond
-	maxReconnectDelay = freshness.NotificationBound - answerTimeout
+	responseTimeout   = 2200 * time.Millisecond
+	maxReconnectDelay = freshness.NotificationBound - responseTimeout
 	minBackoff        = 100 * time.Millisecond // after a failed call, even if the settings allow less
 )
 
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -22,7 +22,7 @@
 func (w *watch) checkNextCall(t *testing.T) {
 	t.Helper()
 	now := w.registry.dispatcher.Loop.Now()
-	latest := max(w.lastContact+freshness.NotificationBound-answerTimeout, w.notBefore)
+	latest := max(w.lastContact+freshness.NotificationBound-responseTimeout, w.notBefore)
 	switch {
 	case w.calling:
 	case w.nextCallAt == 0:
@@ -38,11 +38,11 @@
 // call must together fit into the notification bound.
 func TestTimeoutsFitNotificationBound(t *testing.T) {
 	for _, silence := range []time.Duration{watchCallTimeout, watchLineTimeout} {
-		if sum := silence + minBackoff + answerTimeout; sum > freshness.NotificationBound {
+		if sum := silence + minBackoff + responseTimeout; sum > freshness.NotificationBound {
 			t.Errorf("%v of silence, the least backoff and an answer take %v", silence, sum)
 		}
 	}
-	if watchConnectTimeout+answerTimeout > watchCallTimeout+minBackoff+answerTimeout || watchConnectTimeout > watchCallTimeout {
+	if watchConnectTimeout+responseTimeout > watchCallTimeout+minBackoff+responseTimeout || watchConnectTimeout > watchCallTimeout {
 		t.Error("a call may take longer to connect than in all")
 	}
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-// Discovery moves during the backoff after a failed call, and the first call to the new address fails too. What was
+// The address of discovery changes during the backoff after a failed call, and the first call to the new address fails too. What was
 // scheduled for the former address neither delays nor duplicates a call.
 func TestChangeAddressAfterOutage(t *testing.T) {
 	rig := testkit.NewRig(t).WithSubscription(t, 300, time.Hour)
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -12,7 +12,7 @@
 )
 
 // A compressed response to a poll is also read if the server closes the connection after it.
-func TestCompressedAnswerBeforeClose(t *testing.T) {
+func TestCompressedResponseBeforeClose(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
 	first := server.expectRequest(pollQuery(0))
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -89,7 +89,7 @@
 
 func (s *subscription) now() time.Duration { return s.follower.registry.dispatcher.Loop.Now() }
 
-func (s *subscription) onConnected() { s.exclusiveUntil = s.now() + answerStagger }
+func (s *subscription) onConnected() { s.exclusiveUntil = s.now() + responseStagger }
 
 // receiving reports whether the response to a poll is arriving.
 func (s *subscription) receiving() bool { return s.poll.inProgress && s.poll.conn.response.headRead }
@@ -157,7 +157,7 @@
 		follower.subscriptionFailed(s, errBaseMismatch)
 		return
 	}
-	s.exclusiveUntil = s.now() + answerStagger
+	s.exclusiveUntil = s.now() + responseStagger
 	s.watch.conn.get(s.requestTarget("watch=1&", change.version))
 	if s == follower.active {
 		follower.acknowledgement.recordSent(s.now(), s.poll.after)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -78,8 +78,8 @@
 // SetAddress sets the address of discovery before the first call.
 func (r *Registry) SetAddress(addr string) { r.watch.address = addr }
 
-// ChangeAddress continues the watch at another address, at once and from the version reached. The list and all attempts in
-// flight are kept.
+// ChangeAddress continues the watch at another address, at once and from the version reached. The list and all attempts
+// in flight are kept.
 func (r *Registry) ChangeAddress(addr string) {
 	r.watch.address = addr
 	if r.follower == nil {
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -8,9 +8,9 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// errCallReplaced stops the reading of a response if applying one of its lines has ended the call, as a move to another
-// address does. It is never reported.
-var errCallReplaced = errors.New("the call was ended by a line of its answer")
+// errCallReplaced stops the reading of a response if applying one of its lines has ended the call, as ChangeAddress
+// does. It is never reported.
+var errCallReplaced = errors.New("the call was ended by a line of its response")
 
 // OnData implements transport.Handler: it parses the data that discovery has sent.
 func (w *watch) OnData(conn *transport.Conn, received *transport.Buffer) {
@@ -34,12 +34,12 @@
 		w.fail(err)
 		return
 	}
-	w.limitPartialAnswer()
+	w.limitPartialResponse()
 }
 
-// limitPartialAnswer shortens the timeout while the response's first line or the rest of a line is outstanding, so that
+// limitPartialResponse shortens the timeout while the response's first line or the rest of a line is outstanding, so that
 // a call that breaks off leaves time for another one within the notification bound.
-func (w *watch) limitPartialAnswer() {
+func (w *watch) limitPartialResponse() {
 	if !w.response.headRead || w.established && !w.midLine() {
 		return
 	}
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -7,7 +7,7 @@
 
 // ClaimNeverSent records a worker client's claim that an attempt was never sent, with the evidence for it. Claims about
 // idempotent requests are not recorded. A worker client makes the claim before it reports the end of the attempt, stops
-// the attempt or moves it to another connection.
+// the attempt or resends it on another connection.
 func (d *Dispatcher) ClaimNeverSent(attemptHandle uint64, kind invariant.ClaimKind, evidence invariant.Evidence) {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil {
--- a/internal/dispatch/contradiction_test.go
+++ b/internal/dispatch/contradiction_test.go
@@ -80,7 +80,7 @@
 			c.dispatcher.AttemptStarted(c.firstAttempt)
 			c.end(decision.NotSent)
 		},
-		"sent, then moved": func(c *contradictionTest) {
+		"sent, then resent": func(c *contradictionTest) {
 			c.dispatcher.AttemptSent(c.firstAttempt)
 			if c.dispatcher.MayResend(c.firstAttempt) {
 				t.Error("an attempt that was sent may be sent again")
@@ -118,9 +118,9 @@
 	}
 }
 
-// Guards against an attempt that is sent after its end: an attempt that has ended may not be moved to another
-// connection. To ask for such a move violates no invariant.
-func TestEndedAttemptIsNotMoved(t *testing.T) {
+// Guards against an attempt that is sent after its end: an attempt that has ended may not be resent on another
+// connection. A call of MayResend for it violates no invariant.
+func TestEndedAttemptIsNotResent(t *testing.T) {
 	test := newContradictionTest(t)
 	test.end(decision.ConnectionLost)
 	if test.dispatcher.MayResend(test.firstAttempt) {
--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -134,7 +134,7 @@
 
 // CheckHandover checks that a process with this configuration can hand over to a
 // successor, which needs all its state to be in the store. The error is
-// ErrSourceNotMovable or a *DirectQueueError.
+// ErrSourceHandover or a *DirectQueueError.
 func (c *Config) CheckHandover(settings *decision.Settings) error {
 	if c.Source.Address != "" {
 		return ErrSourceHandover
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -150,7 +150,8 @@
 // RequestLine holds the parts of a request that the admin API needs. They are copies, independent of the parsed buffer.
 type RequestLine struct{ Method, Path, Query string }
 
-// RequestLineReader reads one request to the admin API, whose bytes may arrive in pieces. Its zero value is ready for use.
+// RequestLineReader reads one request to the admin API, whose bytes may arrive in pieces. Its zero value is ready for
+// use.
 type RequestLineReader struct{ state ScanState }
 
 // Read parses the request at the start of b, which holds all bytes received so far. It returns false without an error
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -52,7 +52,7 @@
 	ListStale    bool          // the endpoint list that names the worker may be stale
 }
 
-// brokenRule returns the rule that the send would break, or None.
+// brokenRule returns the rule that the send would break, or NoRule.
 func (s Send) brokenRule() Rule {
 	switch {
 	case s.Leaving && s.Now-s.LeavingSince > s.Grace:
@@ -76,7 +76,7 @@
 	MayHaveRun    bool          // an earlier attempt may have run
 }
 
-// brokenRule returns the rule that the start would break, or None.
+// brokenRule returns the rule that the start would break, or NoRule.
 func (s Start) brokenRule() Rule {
 	switch {
 	case s.Answered:
@@ -108,7 +108,7 @@
 	return g.prevent(start.brokenRule())
 }
 
-// prevent counts an action that is prevented because it would break the rule. With None it allows the action.
+// prevent counts an action that is prevented because it would break the rule. With NoRule it allows the action.
 func (g *Guard) prevent(rule Rule) (broken Rule, allowed bool) {
 	if rule == NoRule {
 		return NoRule, true
@@ -127,8 +127,8 @@
 	return kept
 }
 
-// CheckNeverSentClaim checks a claim that an attempt was never sent against what was reported about the attempt before. It
-// returns whether the claim may be believed: it may not if the attempt was reported as sent or started.
+// CheckNeverSentClaim checks a claim that an attempt was never sent against what was reported about the attempt before.
+// It returns whether the claim may be believed: it may not if the attempt was reported as sent or started.
 func (g *Guard) CheckNeverSentClaim(reported ReportedProgress, subject string) (believed bool) {
 	if reported == NothingReported {
 		return true
@@ -145,7 +145,7 @@
 	}
 }
 
-// check counts and reports a broken rule. It returns true if the rule is None.
+// check counts and reports a broken rule. It returns true if the rule is NoRule.
 func (g *Guard) check(rule Rule, subject string) (kept bool) {
 	if rule == NoRule {
 		return true
--- a/internal/relay/failover_test.go
+++ b/internal/relay/failover_test.go
@@ -22,7 +22,7 @@
 	client := subscribe(t, running.Addr().String(), "d1")
 	eventually(t, "snapshot", client.hasVersion(1))
 
-	upstream.setAnswer(func(url.Values) string { return changeJSON(1, false) })
+	upstream.setResponse(func(url.Values) string { return changeJSON(1, false) })
 	upstreamWatch := upstream.awaitWatch()
 	upstreamWatch.sendLine(changeJSON(1, false))
 	upstreamWatch.sendPartialLine(second, strings.Index(second, `,{"host":"y"`)) // the first worker is complete
@@ -81,14 +81,14 @@
 	client := subscribe(t, running.Addr().String(), "d1")
 	eventually(t, "version 5", client.hasVersion(5))
 	upstreamWatch := first.awaitWatch()
-	first.setAnswer(func(url.Values) string { return changeJSON(3, true, workerJSON("old", "ready")) })
-	second.setAnswer(func(url.Values) string { return changeJSON(4, true, workerJSON("old", "ready")) })
+	first.setResponse(func(url.Values) string { return changeJSON(3, true, workerJSON("old", "ready")) })
+	second.setResponse(func(url.Values) string { return changeJSON(4, true, workerJSON("old", "ready")) })
 	reset(upstreamWatch.conn)
 	eventually(t, "both are called", func() bool { return len(first.singleCalls()) > 1 && len(second.singleCalls()) > 1 })
 	if status := running.Status(); status.Version != 5 {
 		t.Errorf("version %d", status.Version)
 	}
-	second.setAnswer(func(url.Values) string { return changeJSON(6, false, workerJSON("x", "draining")) })
+	second.setResponse(func(url.Values) string { return changeJSON(6, false, workerJSON("x", "draining")) })
 	eventually(t, "version 6", client.hasVersion(6))
 	if seen := client.seenVersions(); !slices.Equal(seen, []int64{5, 6}) {
 		t.Errorf("versions seen: %v", seen)
@@ -259,7 +259,7 @@
 	running, logOutput := startRelay(t, testConfig(unreadable.address(), valid.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
 	eventually(t, "snapshot", client.hasVersion(1))
-	unreadable.setAnswer(func(url.Values) string { return changeJSON(9, true, workerJSON("", "ready")) })
+	unreadable.setResponse(func(url.Values) string { return changeJSON(9, true, workerJSON("", "ready")) })
 	upstreamWatch := unreadable.awaitWatch()
 	upstreamWatch.sendLine(`{"seq":2,"whole":false,"hosts":[}`)
 	eventually(t, "the other upstream", client.hasVersion(3))
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -86,7 +86,7 @@
 		"GET /v1/servers?watch=1&after=0&name=d1 HTTP/1.1\r\n",
 	)
 	recorded.exchange(operators, "GET /control/membership HTTP/1.1\r\n")
-	upstream.setAnswer(func(query url.Values) string {
+	upstream.setResponse(func(query url.Values) string {
 		if query.Get("after") == "0" {
 			return changeJSON(41, true, workerJSON("a", "ready"), workerJSON("b", "draining"))
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -108,7 +108,7 @@
 	upstreamWatch := upstream.awaitWatch()
 	upstreamWatch.sendLine(changeJSON(1, false))
 	upstreamWatch.sendLine(changeJSON(2, false, workerJSON("x", "asleep"), workerJSON("y", "ready")))
-	upstream.setAnswer(func(query url.Values) string { // y has not changed since
+	upstream.setResponse(func(query url.Values) string { // y has not changed since
 		if query.Get("after") == "1" {
 			return changeJSON(3, false, workerJSON("x", "draining"), workerJSON("y", "ready"))
 		}
--- a/internal/relay/scripted_upstream_test.go
+++ b/internal/relay/scripted_upstream_test.go
@@ -20,10 +20,10 @@
 	watches  chan *scriptedWatch // receives each watch that is opened
 	via      string              // Via header of its watches; set before the first call
 
-	mu     sync.Mutex
-	answer func(url.Values) string // returns the body for a single call, or an empty string for status 503
-	calls  []url.Values            // queries of the single calls so far
-	conns  map[net.Conn]bool
+	mu      sync.Mutex
+	respond func(url.Values) string // returns the body for a single call, or an empty string for status 503
+	calls   []url.Values            // queries of the single calls so far
+	conns   map[net.Conn]bool
 }
 
 // scriptedWatch is a watch that a relay has opened.
@@ -52,7 +52,7 @@
 		watches:  make(chan *scriptedWatch, 100),
 		conns:    map[net.Conn]bool{},
 	}
-	u.setAnswer(func(url.Values) string { return body })
+	u.setResponse(func(url.Values) string { return body })
 	go u.accept()
 	t.Cleanup(u.stop)
 	return u
@@ -73,11 +73,11 @@
 // address returns the address where the upstream listens.
 func (u *scriptedUpstream) address() string { return u.listener.Addr().String() }
 
-// setAnswer sets the function that returns the responses to single calls.
-func (u *scriptedUpstream) setAnswer(answer func(url.Values) string) {
+// setResponse sets the function that returns the responses to single calls.
+func (u *scriptedUpstream) setResponse(respond func(url.Values) string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.answer = answer
+	u.respond = respond
 }
 
 // stop closes the listener and resets all connections.
@@ -138,7 +138,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.calls = append(u.calls, query)
-	return u.answer(query)
+	return u.respond(query)
 }
 
 // singleCalls returns the queries of the single calls that have arrived.
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -48,7 +48,7 @@
 
 	handle              uint64           // of the attempt whose outcome is still to be reported; 0 if there is none
 	attempt             dispatch.Attempt // the latest attempt
-	newConnectionFailed bool             // the attempt was moved here after a new connection had failed under it
+	newConnectionFailed bool             // the attempt is resent here after a new connection had failed under it
 
 	dial     dialProgress
 	idle     idleTimes
@@ -92,9 +92,9 @@
 	c.handle = 0
 }
 
-// moveAttempt moves the attempt, which has not run, to another connection to the same worker, unless it has ended.
+// resendAttempt resends the attempt, which has not run, on another connection to the same worker, unless it has ended.
 // newConnectionFailed states whether a new connection, rather than only reused ones, has failed under the attempt.
-func (c *connection) moveAttempt(newConnectionFailed bool) {
+func (c *connection) resendAttempt(newConnectionFailed bool) {
 	handle := c.handle
 	if handle == 0 {
 		return
@@ -174,7 +174,7 @@
 }
 
 // retryUnsent is called when the connection failed before the last byte of the request was sent, so that the request
-// has not run. The attempt is moved to another connection if this one was reused, since the worker may have closed it
+// has not run. The attempt is resent on another connection if this one was reused, since the worker may have closed it
 // long ago, or if this is the first new connection that failed. Otherwise the worker counts as unreachable.
 func (c *connection) retryUnsent() {
 	if !c.reused && c.newConnectionFailed || !c.hasAttempt() {
@@ -182,7 +182,7 @@
 		return
 	}
 	c.request.kind = attemptRequest
-	c.moveAttempt(c.newConnectionFailed || !c.reused)
+	c.resendAttempt(c.newConnectionFailed || !c.reused)
 }
 
 // OnClosed is called when the worker has closed the connection, or the connection was lost. It implements
--- a/internal/workerclient/healthcheck.go
+++ b/internal/workerclient/healthcheck.go
@@ -86,17 +86,17 @@
 		c.send()
 		return
 	}
-	c.moveAttempt(false)
+	c.resendAttempt(false)
 	c.close()
 }
 
 // confirmationFailed is called when the worker has not responded to the health check that precedes the attempt's
-// request. If the connection was reused, the worker may have closed it long ago, so the attempt is moved to another
+// request. If the connection was reused, the worker may have closed it long ago, so the attempt is resent on another
 // connection.
 func (c *connection) confirmationFailed() {
 	c.request.kind = attemptRequest
 	if c.reused {
-		c.moveAttempt(c.newConnectionFailed)
+		c.resendAttempt(c.newConnectionFailed)
 		return
 	}
 	c.rejectUnconfirmed()
