--- a/decision/connection.go
+++ b/decision/connection.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// closeIdleConnections asks for the idle connections to a worker to be closed.
+// closeIdleConnections requests that the idle connections to a worker are closed.
 func (m *Machine) closeIdleConnections(worker *worker) {
 	worker.idleConnections = worker.idleConnections[:0]
 	m.emit(Action{Kind: CloseIdle, Worker: worker.Name})
--- a/decision/hedge.go
+++ b/decision/hedge.go
@@ -5,15 +5,15 @@
 // superviseAttempt checks the only outstanding attempt of a request.
 //
 // It ejects a worker that has stopped reporting, since silence is the only sign of a crashed machine. It
-// hedges the attempt if its worker or zone looks gone, its connection is unresponsive, or it has waited long
-// for its start.
+// hedges the attempt if its worker or zone looks unreachable, its connection is unresponsive, or it has
+// waited long for its start.
 func (m *Machine) superviseAttempt(request *request, attempt *attempt) {
 	if m.workerSilent(attempt) {
 		m.setFailureScore(attempt.worker, 1, reasonSilent)
 	}
-	gone := m.workerLooksGone(attempt)
+	unreachable := m.workerLooksUnreachable(attempt)
 	unresponsive := m.connectionUnresponsive(request, attempt)
-	if !gone && !unresponsive && !m.waitsLongForStart(request, attempt) {
+	if !unreachable && !unresponsive && !m.waitsLongForStart(request, attempt) {
 		return
 	}
 	mayRepeat := request.class.Idempotency != NonIdempotent && request.attemptsMade() < m.settings.MaxAttempts
@@ -33,9 +33,9 @@
 	return m.now-max(attempt.lastSeen, attempt.worker.lastSeen) > limit
 }
 
-// workerLooksGone reports whether there was no report on an attempt for a sweep interval, while its worker
-// is ejected, its zone is unreachable or its connection may have been dead from the start.
-func (m *Machine) workerLooksGone(attempt *attempt) bool {
+// workerLooksUnreachable reports whether there was no report on an attempt for a sweep interval, while its
+// worker is ejected, its zone is unreachable or its connection may have been dead from the start.
+func (m *Machine) workerLooksUnreachable(attempt *attempt) bool {
 	if m.now-attempt.lastSeen <= m.sweepInterval {
 		return false
 	}
--- a/decision/load.go
+++ b/decision/load.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// healthChecksPerArrival is the number of workers that are asked for their load at each arrival.
+// healthChecksPerArrival is the number of workers that are requested to report their load at each arrival.
 const healthChecksPerArrival = 2
 
 // requestHealthChecks requests the load of workers in the subset, in turn, if load reports come with health
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -45,7 +45,7 @@
 	Deadline         time.Duration // how long a client waits in total
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for Deduplicated
-	DedupWindow      time.Duration // for Deduplicated: how long the workers remember a request
+	DedupWindow      time.Duration // for Deduplicated: how long the workers detect repeats of a request
 	Kinds            []int         // the only worker kinds that may run the class; nil: any
 	Zones            []int         // the only zones in which the class may run; nil: any
 	Serialized       bool          // requests of such classes with the same key run one at a time, by arrival
--- a/decision/worker.go
+++ b/decision/worker.go
@@ -22,7 +22,7 @@
 
 	budget          slowStartBudget // see slowstart.go
 	load            workerLoad      // see load.go
-	healthCheckedAt time.Duration   // when checkBacklog last asked for its load
+	healthCheckedAt time.Duration   // when checkBacklog last requested its load
 
 	idleConnections []time.Duration // since when each is idle, the oldest first
 	possiblyLost    *request        // a request that is late and not started, whose connection may be dead
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// The address of discovery changes during the backoff after a failed call, and the first call to the new address fails too. What was
-// scheduled for the former address neither delays nor duplicates a call.
+// The address of discovery changes during the backoff after a failed call, and the first call to the new address fails
+// too. What was scheduled for the former address neither delays nor duplicates a call.
 func TestChangeAddressAfterOutage(t *testing.T) {
 	rig := testkit.NewRig(t).WithSubscription(t, 300, time.Hour)
 	former, formerCalls := listenForCalls(t)
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -25,8 +25,8 @@
 	follower.waitForVersion(7, "a=ready")
 }
 
-// A start time that does not fit into a time.Duration counts as unknown. Such a time used to overflow, so that the worker
-// counted as one that had started 292 years before 1970.
+// A start time that does not fit into a time.Duration counts as unknown. Guards against an overflow, by which the worker
+// counts as one that has started 292 years before 1970.
 func TestStartTimesBeyondADuration(t *testing.T) {
 	rig := testkit.NewRig(t)
 	registry := newRegistry(rig, "")
--- a/internal/dispatch/contradiction_test.go
+++ b/internal/dispatch/contradiction_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards against a renewal that is charged twice: a worker connection that had sent the last byte of an attempt claimed
-// afterwards that nothing was sent. The claim was accepted, and the renewal was retried at a second worker.
+// Guards against a renewal that is charged twice: a worker connection that has sent the last byte of an attempt claims
+// afterwards that nothing was sent. If the claim is accepted, the renewal is retried at a second worker.
 func TestNeverSentClaimAfterLastByteIsRejected(t *testing.T) {
 	for name, claim := range map[string]func(*contradictionTest){
 		"sent, then not sent": func(c *contradictionTest) {
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -3,7 +3,7 @@
 //
 // # Responsibilities
 //
-//   - A [FrontEnd] implements a client protocol. It hands in each request with [Dispatcher.Accept] and gets exactly one
+//   - A [FrontEnd] implements a client protocol. It submits each request with [Dispatcher.Accept] and gets exactly one
 //     [Response] for it, unless it calls [Dispatcher.Cancel] before.
 //   - A [WorkerClient] implements a worker protocol. It starts the attempts that it is given and reports the end of each
 //     once, with [Dispatcher.AttemptEnded]. It is usually also the source of an endpoint list, which it passes on with
--- a/internal/dispatch/frontend.go
+++ b/internal/dispatch/frontend.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// FrontEnd hands in the requests of its clients and passes the responses on to them. It identifies each request by a
+// FrontEnd submits the requests of its clients and passes the responses on to them. It identifies each request by a
 // token of its choice, which the Dispatcher does not interpret.
 type FrontEnd interface {
 	// Respond delivers the final response to the request with this token. It is called once for each request that was
--- a/internal/dispatch/neversent_test.go
+++ b/internal/dispatch/neversent_test.go
@@ -8,10 +8,10 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// The machine gives up a renewal that can only complete late if a late response has no value. If the connection for the
+// The machine abandons a renewal that can only complete late if a late response has no value. If the connection for the
 // renewal is still being dialed then, the renewal must be rejected as never run, so that the client can send it again
-// at once. It was answered with "failed, may have run: true" although the worker client had sent nothing, so that the
-// member was told to check whether the renewal had been charged. The cause is that of
+// at once. Guards against the response "failed, may have run: true" although the worker client has sent nothing, by which
+// the member is told to check whether the renewal was charged. The cause is that of
 // TestNeverSentRequestIsRejectedIfALaterOneStarts: the machine counts an attempt as sent when it is assigned.
 func TestLateRequestThatWasNeverSentIsRejected(t *testing.T) {
 	now := time.Hour
--- a/internal/dispatch/requestids_test.go
+++ b/internal/dispatch/requestids_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// acceptAndEnd hands in a request and cancels it, unless it is answered at once.
+// acceptAndEnd submits a request and cancels it, unless it is answered at once.
 func acceptAndEnd(t *testing.T, d *Dispatcher, number int, id string) {
 	t.Helper()
 	responses := 0
--- a/internal/dispatch/requestmodel_test.go
+++ b/internal/dispatch/requestmodel_test.go
@@ -132,7 +132,7 @@
 func (m *requestModel) CheckHealth(string) {}
 func (m *requestModel) Subscribe()         {}
 
-// accept hands in a request with the properties that x selects.
+// accept submits a request with the properties that x selects.
 func (m *requestModel) accept(x int) {
 	r := &modelRequest{class: x % 2}
 	token := len(m.requests)
--- a/internal/dispatch/startorder_test.go
+++ b/internal/dispatch/startorder_test.go
@@ -75,7 +75,7 @@
 	return test
 }
 
-// accept hands in a request, which the machine assigns at once.
+// accept submits a request, which the machine assigns at once.
 func (s *startOrderTest) accept(token uint64) {
 	s.dispatcher.Accept(s.responses, token, Request{Work: 20 * time.Millisecond})
 }
@@ -98,11 +98,11 @@
 // A non-idempotent request whose attempt has never been sent, since its connection is still being dialed, has not run.
 // It must not fail as one that may have run when a later request starts at the same worker before it.
 //
-// This happened in 1 of 60 runs of TestServesOverFailingSystemCalls on a loaded machine: a renewal was answered with
-// 502. The trace of the daemon showed "assigned", five "dial retried" within 110 ms and no "request written" before the
-// 502. The machine counted the attempt as sent when it was assigned. It assumed that the attempt used an idle
-// connection, since it also counts idle connections that the worker has announced to close, and took the start of the
-// later request as proof that this connection was dead.
+// Seen in 1 of 60 runs of TestServesOverFailingSystemCalls on a loaded machine: a renewal was answered with 502, and the
+// trace of the daemon had "assigned", five "dial retried" within 110 ms and no "request written" before the 502. If the
+// machine counts the attempt as sent when it is assigned, it assumes that the attempt uses an idle connection, since it
+// also counts idle connections that the worker has announced to close, and takes the start of the later request as
+// proof that this connection is dead.
 func TestNeverSentRequestIsRejectedIfALaterOneStarts(t *testing.T) {
 	test := newStartOrderTest(t)
 	test.accept(1) // leaves a connection that the machine counts as idle although the worker may have closed it
--- a/internal/dispatch/unsent_test.go
+++ b/internal/dispatch/unsent_test.go
@@ -10,10 +10,9 @@
 )
 
 // While discovery is overloaded, a worker is sent a request only after it has shown that it serves; otherwise the
-// attempt ends as not sent. Such attempts used to count towards the three attempts of a request: after three of them
-// the request was rejected, 3 ms into its 4 s, although nothing of it had been sent and other workers were free. The
-// cause was that both the decision machine and the dispatcher counted the assigned attempts instead of those that were
-// sent.
+// attempt ends as not sent. Such attempts must not count towards the three attempts of a request. If the decision
+// machine or the dispatcher counts the assigned attempts instead of those that were sent, the request is rejected after
+// three of them, 3 ms into its 4 s, although nothing of it was sent and other workers are free.
 
 // outcomeClient is a worker client whose attempts end with the given outcomes, in the order of their start; the last
 // outcome repeats. An attempt is reported as sent before it ends, unless it ends as not sent.
--- a/internal/durable/rejectpush_test.go
+++ b/internal/durable/rejectpush_test.go
@@ -11,9 +11,9 @@
 )
 
 // A push is rejected since the disk is full, and the producer pushes the job again from within the callback of the
-// rejection. The second push must get its own answer. It was once rejected together with the first, as the rejection went
-// on until no producer of that id was waiting; its write was already queued, so the job was stored and run although its
-// producer had been told that it was not kept.
+// rejection. The second push must get its own answer. If the rejection goes on until no producer of that id is waiting,
+// it rejects the second push too, whose write is already queued: the job is stored and run although its producer was
+// told that it was not stored.
 func TestPushDuringRejection(t *testing.T) {
 	var diskFull atomic.Bool
 	writeError := func() error {
--- a/internal/eventloop/shortstall_test.go
+++ b/internal/eventloop/shortstall_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against requests that are treated as new although they waited while the process was blocked: stalls of less
-// than 0.5 s were ignored.
+// than 0.5 s must not be ignored.
 func TestQueuedSinceAfterShortStall(t *testing.T) {
 	now := time.Hour
 	loop := NewVirtual(func() time.Duration { return now })
--- a/internal/faktory/dedupwindow_test.go
+++ b/internal/faktory/dedupwindow_test.go
@@ -7,8 +7,8 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// Guards against a deduplicated job that runs twice: a retry that waited for its worker's next FETCH was handed out after
-// the dedup window, when workers no longer recognized it as a duplicate.
+// Guards against a deduplicated job that runs twice: a retry that has waited for its worker's next FETCH is handed out
+// after the dedup window, when workers no longer recognize it as a duplicate.
 func TestRetryIsNotHandedOutAfterDedupWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	address, _ := openFrontEnd(t, serverConfig, func(settings *decision.Settings) {
--- a/internal/faktory/delivery.go
+++ b/internal/faktory/delivery.go
@@ -21,7 +21,7 @@
 }
 
 // handOut answers a parked FETCH with the job of a delivery. It ends the attempt
-// as one that never ran if workers may have forgotten an earlier attempt by now,
+// as one that never ran if the dedup window of an earlier attempt may be over,
 // or if the write shows that the connection is broken.
 func (s *Server) handOut(delivery *jobDelivery, slot *parkedFetch) {
 	if !s.withinDedupWindow(delivery) {
--- a/internal/faktory/foreignreport_test.go
+++ b/internal/faktory/foreignreport_test.go
@@ -9,11 +9,11 @@
 
 // These tests guard against a report that takes effect although its connection's worker does not hold the job. They send
 // every report from such connections: the job must not change, and must still run once. Three faults are covered:
-//   - An ACK without a fence, from any connection, finished a stored job that had never been leased (TRACK GET went from
-//     "enqueued" to "success"), so the job was lost without having run. The report's missing fence was 0, like that of a
+//   - An ACK without a fence, from any connection, finishes a stored job that was never leased (TRACK GET goes from
+//     "enqueued" to "success"), so the job is lost without having run: the report's missing fence is 0, like that of a
 //     job without a lease.
-//   - The worker of the connection was checked only for reports without a fence.
-//   - It was not checked at all for BEAT and for reports about direct jobs.
+//   - The worker of the connection is checked only for reports without a fence.
+//   - It is not checked at all for BEAT and for reports about direct jobs.
 
 // foreignReports returns all reports about a job, without a fence and under the given one.
 func foreignReports(jid string, fence uint64) (commands []string) {
--- a/internal/faktory/idleconnections_test.go
+++ b/internal/faktory/idleconnections_test.go
@@ -8,9 +8,9 @@
 )
 
 // Connections that send nothing use up the front end's connection limit, and more of them wait to be accepted. A producer
-// that connects after them must be answered in time. Their eviction was once tried only when they were new, and not
-// again, so the producer had to wait until the first of them was closed by helloTimeout (5 s); it was answered after
-// 6.3 s. The HTTP front end has a test like this in cmd/dispatcher.
+// that connects after them must be answered in time. If their eviction is tried only when they are new, and not
+// again, the producer must wait until helloTimeout (5 s) closes the first of them, and is answered after 6.3 s. The HTTP
+// front end has a test like this in cmd/dispatcher.
 func TestIdleConnectionsDoNotDelayProducer(t *testing.T) {
 	const (
 		idle     = 300 // the front end of these tests accepts 200
--- a/internal/faktory/jidmemory_test.go
+++ b/internal/faktory/jidmemory_test.go
@@ -10,7 +10,7 @@
 )
 
 // The number and the age of completed jids in the memory are bounded. Jobs in
-// progress are never forgotten.
+// progress are never removed from it.
 func TestJidMemoryIsBounded(t *testing.T) {
 	jids := newJidMemory()
 	jids.begin("in-work", 0)
--- a/internal/faktory/proxyheader_test.go
+++ b/internal/faktory/proxyheader_test.go
@@ -16,8 +16,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// Guards against a rejection that an operator cannot find: a connection with an invalid PROXY header was rejected without
-// being counted, and was logged with an invalid address.
+// Guards against a rejection that an operator cannot find: a connection with an invalid PROXY header is rejected without
+// being counted, or is logged with an invalid address.
 func TestBadProxyHeaderIsCountedAndLogged(t *testing.T) {
 	settings := testSettings()
 	if err := AddWorkerKinds(&settings); err != nil {
--- a/internal/faktory/queuecommand_test.go
+++ b/internal/faktory/queuecommand_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// INFO must not count jobs that QUEUE REMOVE, FLUSH or MUTATE has discarded. It once counted the entries of the
-// scheduler's queue, in which a discarded job stays until it is dequeued: after the removal of two jobs INFO reported
-// "renewal":2, although "total_enqueued" was 0.
+// INFO must not count jobs that QUEUE REMOVE, FLUSH or MUTATE has discarded. Guards against a count of the entries of
+// the scheduler's queue, in which a discarded job stays until it is dequeued: after the removal of two jobs, INFO then
+// reports "renewal":2, although "total_enqueued" is 0.
 func TestInfoCountsNoDiscardedJobs(t *testing.T) {
 	withDurableFrontEnd(t, newStorePath(t), "flush = true\n", func(address string) {
 		producer := dialProducer(t, address)
@@ -26,8 +26,8 @@
 	})
 }
 
-// A QUEUE with an unknown operation must be answered with MALFORMED, whatever its queues are. If a queue was unknown too,
-// the answer was once UNKNOWN, which blames the queue.
+// A QUEUE with an unknown operation must be answered with MALFORMED, whatever its queues are. Guards against
+// the answer UNKNOWN if a queue is unknown too, which attributes the error to the queue.
 func TestUnknownQueueOperationIsMalformed(t *testing.T) {
 	withDurableFrontEnd(t, newStorePath(t), "", func(address string) {
 		producer := dialProducer(t, address)
--- a/internal/faktory/starttimes_test.go
+++ b/internal/faktory/starttimes_test.go
@@ -6,8 +6,9 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// A start time in a label that does not fit a time.Duration must be treated as unknown. It once overflowed to 292 years
-// before 1970. Package discovery has a test like this for its start times.
+// A start time in a label that does not fit into a time.Duration counts as unknown. Guards against an overflow, by which
+// the worker counts as one that has started 292 years before 1970. Package discovery has a test like this for its start
+// times.
 func TestStartTimeLabelOutOfRange(t *testing.T) {
 	_, rig := openFrontEnd(t, serverConfig, nil)
 	server := &Server{dispatcher: rig.Dispatcher}
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -170,18 +170,16 @@
 // HealthEvidence says whether a successful health check of one worker still proves that the worker is listed. By the
 // zero value it does. A HealthEvidence is not safe for concurrent use.
 type HealthEvidence struct {
-	invalidated bool
+	failed      bool
 	confirmedAt time.Duration // the list's ConfirmedAt when Invalidate was called
 }
 
 // Invalidate records that the worker could not be reached, or reported that it does not serve requests.
 func (e *HealthEvidence) Invalidate(t *Tracker) {
-	e.invalidated = true
+	e.failed = true
 	e.confirmedAt = t.ConfirmedAt()
 }
 
 // Valid reports whether health checks of the worker still count as proof. A worker for which Invalidate was called may
 // have been removed and restarted since: its health checks prove nothing until the list is confirmed again.
-func (e *HealthEvidence) Valid(t *Tracker) bool {
-	return !e.invalidated || e.confirmedAt != t.ConfirmedAt()
-}
+func (e *HealthEvidence) Valid(t *Tracker) bool { return !e.failed || e.confirmedAt != t.ConfirmedAt() }
--- a/internal/httpfront/pipelinedhead_test.go
+++ b/internal/httpfront/pipelinedhead_test.go
@@ -9,9 +9,9 @@
 )
 
 // Guards against a wrong response to a request that the front end answers by itself and that is followed by a pipelined
-// HEAD request: it was written without its body and closed the connection, so that the HEAD got no response (404 with
-// "" and "unexpected EOF" for the HEAD). The method was read from the input after the request had been removed from it,
-// when the HEAD had taken its place.
+// HEAD request: it is written without its body and closes the connection, so that the HEAD gets no response (404 with
+// "" and "unexpected EOF" for the HEAD). This happens if the method is read from the input after the request was removed
+// from it, when the HEAD has taken its place.
 func TestPipelinedHeadKeepsPreviousResponse(t *testing.T) {
 	for _, test := range []struct {
 		name, request string
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -17,7 +17,7 @@
 	Drain                     // nothing is sent to a draining or removed worker after its grace period
 	ListStale                 // nothing is sent while the endpoint list that names the worker may be stale
 	Deadline                  // nothing is sent after the client has given up
-	DedupWindow               // no repeat is sent so late that workers may no longer know the first attempt
+	DedupWindow               // no repeat is sent so late that workers may no longer recognize it as one
 	Duplicate                 // a non-idempotent request has at most one attempt that may have run
 	Answered                  // nothing is sent for a request that has its final response
 	Unanswered                // no client connection is closed while a response is outstanding
--- a/internal/membership/subscribers_test.go
+++ b/internal/membership/subscribers_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestRemovedSubscriberIsNeverDue(t *testing.T) {
+func TestRemovedSubscriberHasNoState(t *testing.T) {
 	subscribers := newTestSubscribers()
 	var unbounded RateLimiter
 	subscribers.Add(1, 0, &unbounded)
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -64,8 +64,8 @@
 }
 
 // Guards against the reuse of a descriptor for which the poller still has an event:
-// a connection was closed while the poller had an event for it, the next connection
-// got the same descriptor, and the event closed that connection before anything was
+// a connection is closed while the poller has an event for it, the next connection
+// gets the same descriptor, and the event closes that connection before anything is
 // read from it. Here the poller is blocked between two events, as by a busy loop.
 func TestCloseKeepsDescriptorFromReuse(t *testing.T) {
 	engine := startEngine(t, 100)
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -134,7 +134,7 @@
 	got := make(chan dialResult, 1)
 	engine.Dial(addr, testTimeout, handler, func(c *Conn, err error) {
 		if c != nil {
-			c.Write([]byte("first")) // used to crash if nbio had not registered the connection yet
+			c.Write([]byte("first")) // must not crash if nbio has not registered the connection yet
 		}
 		got <- dialResult{c, err}
 	})
--- a/internal/workerclient/delayedattempt_test.go
+++ b/internal/workerclient/delayedattempt_test.go
@@ -8,9 +8,9 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// Guards against a deduplicated request that runs twice. The first attempt was delayed and a later attempt was sent
-// before it. The first attempt had no time limit for being sent, so it could be sent after the dedup window of the
-// later one, when workers no longer recognized it as a duplicate.
+// Guards against a deduplicated request that runs twice. The first attempt is delayed and a later attempt is sent
+// before it. Without a time limit for being sent, the first attempt could be sent after the dedup window of the later
+// one, when workers no longer recognize it as a duplicate.
 func TestDelayedAttemptIsNotSentAfterDedupWindow(t *testing.T) {
 	const window = 600 * time.Millisecond
 	const lastByteDelay = 2 * time.Second
--- a/internal/workerclient/retrytimer_test.go
+++ b/internal/workerclient/retrytimer_test.go
@@ -9,9 +9,9 @@
 )
 
 // Guards against a retry that hangs until its deadline. A retry that the socket cannot take at once has a timer by
-// which it must have been sent completely. Once the head of the response had arrived, the expired timer was handled
-// like that of an idle connection, although the retry had been sent in time: the connection was closed, and no outcome
-// was reported. The request failed 7.99 s after its first attempt, at its deadline of 8 s.
+// which it must have been sent completely. If the expired timer is handled like that of an idle connection once the
+// head of the response has arrived, although the retry was sent in time, the connection is closed and no outcome is
+// reported. The request then fails 7.99 s after its first attempt, at its deadline of 8 s.
 func TestRetryThatRunsBeyondItsWindowIsServed(t *testing.T) {
 	const window = time.Second
 	rig := testkit.NewRig(t, withDeduplicatedClass(window, 100*time.Millisecond))
