--- a/cmd/dispatcher/shortreads_test.go
+++ b/cmd/dispatcher/shortreads_test.go
@@ -80,9 +80,9 @@
 	removal.trace(faultinject.Plan{Rules: []faultinject.Rule{{
 		Call:        faultinject.SocketRead,
 		Probability: 1,
-		Short:       shortRead,
-		Peer:        port(t, removal.discovery.address),
-		After:       faultAfter,
+		MaxBytes:    shortRead,
+		PeerPort:    port(t, removal.discovery.address),
+		Start:       faultAfter,
 	}}})
 	began := time.Now()
 	removal.start()
--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -28,12 +28,12 @@
 	}
 	for call := faultinject.SocketRead; call <= faultinject.SetOption; call++ {
 		for _, errno := range errors[call] {
-			rules = append(rules, faultinject.Rule{Call: call, Probability: probability, Error: errno, After: after, For: span})
+			rules = append(rules, faultinject.Rule{Call: call, Probability: probability, Error: errno, Start: after, Duration: span})
 		}
 	}
 	return append(rules,
-		faultinject.Rule{Call: faultinject.SocketRead, Probability: 0.5, Short: 40, After: after, For: span},
-		faultinject.Rule{Call: faultinject.SocketWrite, Probability: 0.5, Short: 40, After: after, For: span})
+		faultinject.Rule{Call: faultinject.SocketRead, Probability: 0.5, MaxBytes: 40, Start: after, Duration: span},
+		faultinject.Rule{Call: faultinject.SocketWrite, Probability: 0.5, MaxBytes: 40, Start: after, Duration: span})
 }
 
 // All clients get answers while system calls fail temporarily, transfer few bytes or are
@@ -106,7 +106,7 @@
 			daemon := &testDaemon{t: t}
 			worker := daemon.addWorker("s-1", respondDone)
 			daemon.trace(faultinject.Plan{Seed: 2, Rules: []faultinject.Rule{
-				{Call: faultinject.SocketRead, Probability: 0.3, Error: errno, Peer: port(t, worker.listener.Addr().String()), After: after, For: span},
+				{Call: faultinject.SocketRead, Probability: 0.3, Error: errno, PeerPort: port(t, worker.listener.Addr().String()), Start: after, Duration: span},
 			}})
 			startedAt := time.Now()
 			daemon.start()
--- a/cmd/rehearse/connectionadmin_test.go
+++ b/cmd/rehearse/connectionadmin_test.go
@@ -37,11 +37,11 @@
 	t.Helper()
 	operatorFile := writeFile(t, "operator.toml", limitedOperatorFile)
 	fleet, err := standin.StartFleet(standin.FleetConfig{
-		Daemon:   daemon,
-		Dir:      t.TempDir(),
-		Workers:  2,
-		Operator: operatorFile,
-		Classes:  []standin.ClassConfig{{Name: "status-check", Retryable: true, Timeout: 5 * time.Second}},
+		DaemonPath: daemon,
+		Dir:        t.TempDir(),
+		Workers:    2,
+		Operator:   operatorFile,
+		Classes:    []standin.ClassConfig{{Name: "status-check", Retryable: true, Timeout: 5 * time.Second}},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/rehearse/floodpart.go
+++ b/cmd/rehearse/floodpart.go
@@ -136,7 +136,7 @@
 		}
 	}
 	return standin.StartFleet(standin.FleetConfig{
-		Daemon:      daemon,
+		DaemonPath:  daemon,
 		Dir:         dir,
 		Workers:     floodWorkers,
 		Seed:        c.Seed,
--- a/cmd/rehearse/generate.go
+++ b/cmd/rehearse/generate.go
@@ -21,13 +21,13 @@
 // Run writes the log to standard output.
 func (c *generateCmd) Run(env *environment) error {
 	lineCount, err := recording.GenerateLog(env.out, recording.SyntheticLog{
-		Shape:             c.Shape,
-		Rate:              c.Rate,
-		Length:            c.Duration,
-		MeanDurationMs:    c.MeanMs,
-		Members:           c.Members,
-		Seed:              c.Seed,
-		MillisecondStamps: c.Precise,
+		Shape:                 c.Shape,
+		Rate:                  c.Rate,
+		Length:                c.Duration,
+		MeanDurationMs:        c.MeanMs,
+		Members:               c.Members,
+		Seed:                  c.Seed,
+		MillisecondTimestamps: c.Precise,
 	})
 	if err != nil {
 		return err
--- a/cmd/rehearse/replay_test.go
+++ b/cmd/rehearse/replay_test.go
@@ -41,10 +41,10 @@
 // earlier versions still works.
 func TestReplayWithholdsRenewals(t *testing.T) {
 	fleet, err := standin.StartFleet(standin.FleetConfig{
-		Daemon:  daemon,
-		Dir:     t.TempDir(),
-		Workers: 3,
-		Seed:    1,
+		DaemonPath: daemon,
+		Dir:        t.TempDir(),
+		Workers:    3,
+		Seed:       1,
 		Classes: []standin.ClassConfig{
 			{Name: "renewal", Timeout: 8 * time.Second},
 			{Name: "status-check", Retryable: true, Timeout: 5 * time.Second},
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -108,14 +108,14 @@
 	}
 	size := c.workerSize(load)
 	return standin.StartFleet(standin.FleetConfig{
-		Daemon:  daemon,
-		Dir:     dir,
-		Classes: load.classes,
-		Workers: size.count,
-		Cores:   size.slots,
-		Seed:    c.Seed,
-		Faktory: c.FrontEnd == frontEndFaktory,
-		Noise:   c.Noise,
+		DaemonPath:       daemon,
+		Dir:              dir,
+		Classes:          load.classes,
+		Workers:          size.count,
+		WorkerSlots:      size.slots,
+		Seed:             c.Seed,
+		Faktory:          c.FrontEnd == frontEndFaktory,
+		RunTimeVariation: c.Noise,
 	})
 }
 
--- a/cmd/rehearse/slopes_test.go
+++ b/cmd/rehearse/slopes_test.go
@@ -15,19 +15,19 @@
 
 // positiveSeries are series whose values depend on the machine, but are never zero.
 var positiveSeries = map[capacity.SeriesName]bool{
-	capacity.SnapshotBytes: true,
-	capacity.SnapshotGzip:  true,
-	capacity.DeltaBytes:    true,
-	capacity.StartResident: true,
-	capacity.PeakResident:  true,
-	capacity.ReadyTime:     true,
-	capacity.StartCPU:      true,
-	capacity.ModuleDelta:   true,
-	capacity.ModuleWarm:    true,
-	capacity.ModuleCold:    true,
-	capacity.ModulePick:    true,
-	capacity.ModuleTeams:   true,
-	capacity.ModuleSweep:   true,
+	capacity.SnapshotBytes:                true,
+	capacity.SnapshotGzip:                 true,
+	capacity.DeltaBytes:                   true,
+	capacity.StartResident:                true,
+	capacity.PeakResident:                 true,
+	capacity.ReadyTime:                    true,
+	capacity.StartCPU:                     true,
+	capacity.ModuleDelta:                  true,
+	capacity.ModuleRequest:                true,
+	capacity.ModuleSlowStartRequest:       true,
+	capacity.ModuleSlowStartRequestMedian: true,
+	capacity.ModuleRequestByTeams:         true,
+	capacity.ModuleSweep:                  true,
 }
 
 // In a small slope run with the daemon, every series has values, and those that do not depend on the machine are right.
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -130,7 +130,7 @@
 	case poll = <-two.requests:
 		first = two
 		last = one
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("no server is polled")
 	}
 	first.requests <- poll
@@ -174,7 +174,7 @@
 			follower.waitForVersion(41, "k=ready n=ready")
 			follower.waitForServer(two)
 			return
-		case <-time.After(testkit.Patience):
+		case <-time.After(testkit.WaitTimeout):
 			t.Fatal("no server is polled")
 		}
 	}
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -187,11 +187,11 @@
 		})
 		addr, calls := listenForCalls(t)
 		registry := followDiscovery(t, rig, addr)
-		end := time.Now().Add(testkit.Patience)
+		end := time.Now().Add(testkit.WaitTimeout)
 		for i := range 24 { // a backoff of seconds, or one that doubles, takes far longer
 			call := testkit.Receive(t, calls)
 			if time.Now().After(end) {
-				t.Fatalf("%d calls in %v", i, testkit.Patience)
+				t.Fatalf("%d calls in %v", i, testkit.WaitTimeout)
 			}
 			if call.query != "watch=1&after=41" {
 				t.Fatalf("call %d: %s", i, call.query)
--- a/internal/dispatch/cancellation.go
+++ b/internal/dispatch/cancellation.go
@@ -23,10 +23,10 @@
 	d.cleanUp(request)
 }
 
-// ClientGone reports whether the client of an attempt's request has disconnected. If so, it has cancelled the request
+// ClientDisconnected reports whether the client of an attempt's request has disconnected. If so, it has cancelled the request
 // and stopped the attempt. It also returns true if the attempt is not open any more. A worker client calls it right
 // before it sends the bytes that let the worker begin.
-func (d *Dispatcher) ClientGone(attemptHandle uint64) bool {
+func (d *Dispatcher) ClientDisconnected(attemptHandle uint64) bool {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil {
 		return true
@@ -39,7 +39,7 @@
 // the request of a leased job, which is to run whether or not its client waits.
 func (d *Dispatcher) cancelIfDisconnected(request *openRequest) bool {
 	watcher, ok := request.frontEnd.(ClientWatcher)
-	if !ok || request.Leaser != nil || !watcher.ClientLeft(request.token) {
+	if !ok || request.Leaser != nil || !watcher.ClientDisconnected(request.token) {
 		return false
 	}
 	mayHaveRun := d.Cancel(request.handle)
--- a/internal/dispatch/frontend.go
+++ b/internal/dispatch/frontend.go
@@ -11,8 +11,8 @@
 // ClientWatcher is implemented by a FrontEnd that can detect that a client has disconnected before it has handled the
 // event for it: the loop may be busy, or there may be unread bytes before the end of the connection.
 type ClientWatcher interface {
-	// ClientLeft reports whether the client of the request with this token has disconnected.
-	ClientLeft(token uint64) bool
+	// ClientDisconnected reports whether the client of the request with this token has disconnected.
+	ClientDisconnected(token uint64) bool
 	// RequestCancelled reports that the Dispatcher has cancelled the request for that reason, and whether some attempt
 	// of it may have run.
 	RequestCancelled(token uint64, mayHaveRun bool)
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -175,8 +175,8 @@
 	c.respond(response)
 }
 
-// ClientLeft reports whether the producer of a PUSH has closed its connection.
-func (s *Server) ClientLeft(token uint64) bool {
+// ClientDisconnected reports whether the producer of a PUSH has closed its connection.
+func (s *Server) ClientDisconnected(token uint64) bool {
 	c := s.connections.Get(token)
 	return c == nil || c.conn.PeerClosed()
 }
--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// ClientLeft reports whether the client of a request has closed its connection, even if the event loop has not handled
+// ClientDisconnected reports whether the client of a request has closed its connection, even if the event loop has not handled
 // the close event yet. It implements dispatch.ClientWatcher.
-func (f *FrontEnd) ClientLeft(token uint64) bool {
+func (f *FrontEnd) ClientDisconnected(token uint64) bool {
 	c := f.connections.Get(token)
 	return c == nil || c.conn.PeerClosed()
 }
--- a/internal/httpfront/drain_test.go
+++ b/internal/httpfront/drain_test.go
@@ -138,7 +138,7 @@
 		m.t.Fatal(err)
 	}
 	m.opened = append(m.opened, conn)
-	conn.SetDeadline(time.Now().Add(testkit.Patience))
+	conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	m.clients[number] = &drainClient{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
--- a/internal/httpfront/frontend_test.go
+++ b/internal/httpfront/frontend_test.go
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(testkit.Patience))
+		conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 		var want []int // the status of each response
 		ended := false
 		for i := 0; i+1 < len(steps) && i < 2*maxSteps && !ended; i += 2 {
@@ -42,7 +42,7 @@
 			text := testkit.WithID(exchange.Request, fmt.Sprintf("id%06d", number))
 			writeSplit(conn, text, steps[i+1])
 			want = append(want, exchange.Status)
-			ended = exchange.Ends
+			ended = exchange.ClosesConnection
 		}
 		reader := bufio.NewReader(conn)
 		checkResponses(t, reader, want)
--- a/internal/httpfront/golden_test.go
+++ b/internal/httpfront/golden_test.go
@@ -35,7 +35,7 @@
 	var text strings.Builder
 	for i, exchange := range testkit.Exchanges {
 		request := testkit.WithID(exchange.Request, fmt.Sprintf("id%06d", i))
-		if exchange.Ends {
+		if exchange.ClosesConnection {
 			text.WriteString(formatExchange(request, roundTrip(t, addr, request)))
 		} else {
 			text.WriteString(formatExchange(request, roundTripKeptAlive(t, addr, request)))
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(testkit.Patience))
+	conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	io.WriteString(conn, text)
 	response, _ := io.ReadAll(conn) // a connection reset after the response does not matter
 	return string(response)
--- a/internal/rehearsal/capacity/basis.go
+++ b/internal/rehearsal/capacity/basis.go
@@ -81,8 +81,8 @@
 		{&figures.startCPU, StartCPU},
 		{&figures.zoneLossCPU, ZoneLossCPU},
 		{&figures.peakResident, PeakResident},
-		{&figures.requestCPU, ModuleWarm},
-		{&figures.slowStartRequestCPU, ModuleCold},
+		{&figures.requestCPU, ModuleRequest},
+		{&figures.slowStartRequestCPU, ModuleSlowStartRequest},
 	} {
 		*figure.value, err = b.valueAt(figure.series, b.Target.Workers)
 		if err != nil {
--- a/internal/rehearsal/capacity/basis_test.go
+++ b/internal/rehearsal/capacity/basis_test.go
@@ -78,8 +78,8 @@
 		{StartCPU, UnitSeconds, 0.3},
 		{ZoneLossCPU, UnitSeconds, 2.8},
 		{PeakResident, UnitBytes, 42e6},
-		{ModuleWarm, UnitSeconds, 5e-6},
-		{ModuleCold, UnitSeconds, 500e-6},
+		{ModuleRequest, UnitSeconds, 5e-6},
+		{ModuleSlowStartRequest, UnitSeconds, 500e-6},
 		{ModuleTaskMemory, UnitBytes, 21000 * 240},
 	} {
 		proportional := func(size float64) float64 { return series.largest * size / 21000 }
--- a/internal/rehearsal/capacity/modulemeasure.go
+++ b/internal/rehearsal/capacity/modulemeasure.go
@@ -15,8 +15,8 @@
 		perSlowStart int // one in this many workers is in slow start; none if it is 0
 		count        int
 	}{
-		{series: ModuleWarm, count: requestsPerRun},
-		{series: ModuleCold, perSlowStart: workersPerSlowStart, count: slowStartRequests},
+		{series: ModuleRequest, count: requestsPerRun},
+		{series: ModuleSlowStartRequest, perSlowStart: workersPerSlowStart, count: slowStartRequests},
 	} {
 		started, err := newModule(workers, requests.perSlowStart, daemonPeers, daemonTeams)
 		if err != nil {
@@ -28,8 +28,8 @@
 			return fmt.Errorf("%s: %w", requests.series, err)
 		}
 		slopes.record(requests.series, UnitSeconds, AxisWorkers, workers, mean)
-		if requests.series == ModuleCold {
-			slopes.record(ModulePick, UnitSeconds, AxisWorkers, workers, median)
+		if requests.series == ModuleSlowStartRequest {
+			slopes.record(ModuleSlowStartRequestMedian, UnitSeconds, AxisWorkers, workers, median)
 		}
 	}
 	started, err := newModule(workers, 0, daemonPeers, daemonTeams)
@@ -49,9 +49,9 @@
 		}
 		mean, _, err := started.measureRequests(requestsPerRun, teams)
 		if err != nil {
-			return fmt.Errorf("%s: %w", ModuleTeams, err)
+			return fmt.Errorf("%s: %w", ModuleRequestByTeams, err)
 		}
-		slopes.record(ModuleTeams, UnitSeconds, AxisTeams, teams, mean)
+		slopes.record(ModuleRequestByTeams, UnitSeconds, AxisTeams, teams, mean)
 	}
 	for _, tasks := range taskCounts {
 		if err := measureRunningTasks(slopes, tasks); err != nil {
--- a/internal/rehearsal/capacity/slopes.go
+++ b/internal/rehearsal/capacity/slopes.go
@@ -34,25 +34,25 @@
 // The series of a slope run. Those that begin with Module measure the decision module alone; the others measure the daemon,
 // from outside.
 const (
-	ReadyTime        SeriesName = "ready"             // time from the daemon's start until it is ready
-	StartCPU         SeriesName = "start_cpu"         // processor time of the start
-	StartResident    SeriesName = "start_resident"    // peak resident memory after the start
-	PeakResident     SeriesName = "peak_resident"     // peak resident memory at the end of the measurement
-	SnapshotBytes    SeriesName = "snapshot_bytes"    // bytes on the connection to discovery during the start
-	SnapshotGzip     SeriesName = "snapshot_gzip"     // bytes of the endpoint list compressed by gzip, at its default level
-	IdleCPU          SeriesName = "idle_cpu"          // processor time per second while nothing changes
-	IdleBytes        SeriesName = "idle_bytes"        // bytes per second while nothing changes
-	DeltaCPU         SeriesName = "delta_cpu"         // processor time per one-worker delta, without the idle part
-	DeltaBytes       SeriesName = "delta_bytes"       // bytes per one-worker delta, without the idle part
-	ZoneLossCPU      SeriesName = "zone_loss_cpu"     // processor time for the loss of a zone's workers, one delta each
-	ZoneLossDeltas   SeriesName = "zone_loss_deltas"  // number of deltas for the loss of a zone's workers
-	ModuleDelta      SeriesName = "module_delta"      // time of a one-worker delta
-	ModuleWarm       SeriesName = "module_arrival"    // mean time of the decision on a request, no worker in slow start
-	ModuleCold       SeriesName = "module_cold"       // mean time of the decision on a request, a tenth of the workers in slow start
-	ModulePick       SeriesName = "module_cold_pick"  // median time of the same decisions as in ModuleCold
-	ModuleTeams      SeriesName = "module_teams"      // mean time of the decision on a request, by the number of teams with quotas
-	ModuleTaskMemory SeriesName = "module_held_bytes" // memory of the running tasks, by their number
-	ModuleSweep      SeriesName = "module_sweep"      // time of one sweep, by the number of running tasks
+	ReadyTime                    SeriesName = "ready"             // time from the daemon's start until it is ready
+	StartCPU                     SeriesName = "start_cpu"         // processor time of the start
+	StartResident                SeriesName = "start_resident"    // peak resident memory after the start
+	PeakResident                 SeriesName = "peak_resident"     // peak resident memory at the end of the measurement
+	SnapshotBytes                SeriesName = "snapshot_bytes"    // bytes on the connection to discovery during the start
+	SnapshotGzip                 SeriesName = "snapshot_gzip"     // bytes of the endpoint list compressed by gzip, at its default level
+	IdleCPU                      SeriesName = "idle_cpu"          // processor time per second while nothing changes
+	IdleBytes                    SeriesName = "idle_bytes"        // bytes per second while nothing changes
+	DeltaCPU                     SeriesName = "delta_cpu"         // processor time per one-worker delta, without the idle part
+	DeltaBytes                   SeriesName = "delta_bytes"       // bytes per one-worker delta, without the idle part
+	ZoneLossCPU                  SeriesName = "zone_loss_cpu"     // processor time for the loss of a zone's workers, one delta each
+	ZoneLossDeltas               SeriesName = "zone_loss_deltas"  // number of deltas for the loss of a zone's workers
+	ModuleDelta                  SeriesName = "module_delta"      // time of a one-worker delta
+	ModuleRequest                SeriesName = "module_arrival"    // mean time of the decision on a request, no worker in slow start
+	ModuleSlowStartRequest       SeriesName = "module_cold"       // mean time of the decision on a request, a tenth of the workers in slow start
+	ModuleSlowStartRequestMedian SeriesName = "module_cold_pick"  // median time of the same decisions as in ModuleCold
+	ModuleRequestByTeams         SeriesName = "module_teams"      // mean time of the decision on a request, by the number of teams with quotas
+	ModuleTaskMemory             SeriesName = "module_held_bytes" // memory of the running tasks, by their number
+	ModuleSweep                  SeriesName = "module_sweep"      // time of one sweep, by the number of running tasks
 )
 
 // Unit is the unit of a value.
--- a/internal/rehearsal/faultinject/plan.go
+++ b/internal/rehearsal/faultinject/plan.go
@@ -45,21 +45,21 @@
 	Call        Call
 	Probability float64       // probability that a matching call is affected; 1 affects every call
 	Error       syscall.Errno // error that the call returns without being made; if 0, the call is made
-	Short       int           // upper limit of the bytes that a read or write transfers; used if Error is 0
-	Peer        int           // the TCP port to which the affected connections lead; 0 affects all connections
-	After       time.Duration // time from the start of the program until the rule takes effect
-	For         time.Duration // how long the rule is in force; 0 keeps it in force until the program ends
+	MaxBytes    int           // upper limit of the bytes that a read or write transfers; used if Error is 0
+	PeerPort    int           // the TCP port to which the affected connections lead; 0 affects all connections
+	Start       time.Duration // time from the start of the program until the rule takes effect
+	Duration    time.Duration // how long the rule is in force; 0 keeps it in force until the program ends
 }
 
 // inForce reports whether the rule applies when the program has run for elapsed.
 func (r *Rule) inForce(elapsed time.Duration) bool {
-	return elapsed >= r.After && (r.For == 0 || elapsed < r.After+r.For)
+	return elapsed >= r.Start && (r.Duration == 0 || elapsed < r.Start+r.Duration)
 }
 
 // Step sets the offset of the program's wall clock from the true time. It replaces the
 // offset of the preceding step.
 type Step struct {
-	After  time.Duration // time from the start of the program until the step
+	Start  time.Duration // time from the start of the program until the step
 	Offset time.Duration
 }
 
@@ -75,7 +75,7 @@
 func (p *Plan) clockOffset(elapsed time.Duration) time.Duration {
 	var offset time.Duration
 	for _, step := range p.Steps {
-		if elapsed >= step.After {
+		if elapsed >= step.Start {
 			offset = step.Offset
 		}
 	}
--- a/internal/rehearsal/faultinject/plan_test.go
+++ b/internal/rehearsal/faultinject/plan_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestRuleInForce(t *testing.T) {
-	bounded := Rule{After: time.Second, For: time.Second}
-	unbounded := Rule{After: time.Second}
+	bounded := Rule{Start: time.Second, Duration: time.Second}
+	unbounded := Rule{Start: time.Second}
 	for _, test := range []struct {
 		elapsed            time.Duration
 		bounded, unbounded bool
@@ -29,7 +29,7 @@
 }
 
 func TestClockOffset(t *testing.T) {
-	plan := Plan{Steps: []Step{{After: time.Second, Offset: time.Hour}, {After: 3 * time.Second, Offset: -time.Minute}}}
+	plan := Plan{Steps: []Step{{Start: time.Second, Offset: time.Hour}, {Start: 3 * time.Second, Offset: -time.Minute}}}
 	for elapsed, want := range map[time.Duration]time.Duration{
 		0: 0, time.Second: time.Hour, 2 * time.Second: time.Hour, 3 * time.Second: -time.Minute,
 	} {
--- a/internal/rehearsal/faultinject/process_test.go
+++ b/internal/rehearsal/faultinject/process_test.go
@@ -149,7 +149,7 @@
 
 func TestShortReads(t *testing.T) {
 	addr := startSender(t, 1000)
-	plan := Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, Short: 10}}}
+	plan := Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, MaxBytes: 10}}}
 	traced, output := run(t, plan, roleRead, addr)
 	if output != "1000 bytes, true\n" {
 		t.Errorf("the program printed %q", output)
@@ -164,7 +164,7 @@
 	_, portText, _ := net.SplitHostPort(addr)
 	port, _ := strconv.Atoi(portText)
 	for _, peer := range []int{port, port + 1} {
-		plan := Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, Short: 10, Peer: peer}}}
+		plan := Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, MaxBytes: 10, PeerPort: peer}}}
 		traced, output := run(t, plan, roleRead, addr)
 		applies := peer == port
 		want := fmt.Sprintf("1000 bytes, %v\n", applies)
@@ -186,7 +186,7 @@
 
 func TestSteppedClock(t *testing.T) {
 	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
-		plan := Plan{Steps: []Step{{After: clockStepAfter, Offset: offset}}}
+		plan := Plan{Steps: []Step{{Start: clockStepAfter, Offset: offset}}}
 		started := time.Now()
 		_, output := run(t, plan, roleClock, "")
 		elapsed := time.Since(started)
--- a/internal/rehearsal/faultinject/syscallstop.go
+++ b/internal/rehearsal/faultinject/syscallstop.go
@@ -42,7 +42,7 @@
 		stopped.injectedError = rule.Error
 		registers.Orig_rax = noSyscall
 	} else {
-		registers.Rdx = min(registers.Rdx, uint64(rule.Short))
+		registers.Rdx = min(registers.Rdx, uint64(rule.MaxBytes))
 	}
 	_ = syscall.PtraceSetRegs(tid, registers)
 }
@@ -72,7 +72,7 @@
 		if !rule.inForce(elapsed) || !p.matches(rule, registers) || p.random.Float64() >= rule.Probability {
 			continue
 		}
-		if rule.Error == 0 && registers.Rdx <= uint64(rule.Short) {
+		if rule.Error == 0 && registers.Rdx <= uint64(rule.MaxBytes) {
 			return nil // the call does not transfer more bytes than the rule allows
 		}
 		return rule
@@ -87,9 +87,9 @@
 	firstArgument := registers.Rdi
 	switch rule.Call {
 	case SocketRead:
-		return number == syscall.SYS_READ && p.isConnection(firstArgument, rule.Peer)
+		return number == syscall.SYS_READ && p.isConnection(firstArgument, rule.PeerPort)
 	case SocketWrite:
-		return number == syscall.SYS_WRITE && p.isConnection(firstArgument, rule.Peer)
+		return number == syscall.SYS_WRITE && p.isConnection(firstArgument, rule.PeerPort)
 	case Accept:
 		return number == syscall.SYS_ACCEPT4 || number == syscall.SYS_ACCEPT
 	case Socket:
--- a/internal/rehearsal/recording/syntheticlog.go
+++ b/internal/rehearsal/recording/syntheticlog.go
@@ -19,13 +19,13 @@
 
 // SyntheticLog specifies a log that GenerateLog generates for measurements and tests.
 type SyntheticLog struct {
-	Shape             string        // ShapeSteady, ShapeRush or ShapeMorning
-	Rate              float64       // entries per second, on average
-	Length            time.Duration // from the start to the last arrival, at most
-	MeanDurationMs    float64
-	Members           int
-	Seed              uint64
-	MillisecondStamps bool // write SyntheticLogFormat; otherwise combined+s, with timestamps of whole seconds
+	Shape                 string        // ShapeSteady, ShapeRush or ShapeMorning
+	Rate                  float64       // entries per second, on average
+	Length                time.Duration // from the start to the last arrival, at most
+	MeanDurationMs        float64
+	Members               int
+	Seed                  uint64
+	MillisecondTimestamps bool // write SyntheticLogFormat; otherwise combined+s, with timestamps of whole seconds
 }
 
 // SyntheticLogFormat is the format, as for Compile, of synthetic logs with timestamps of milliseconds.
@@ -111,7 +111,7 @@
 	}
 	duration := s.MeanDurationMs / 1000 * math.Exp(random.NormFloat64()*durationSigma-durationShift)
 	completed := syntheticStart.Add(time.Duration((elapsed + duration) * float64(time.Second)))
-	if s.MillisecondStamps {
+	if s.MillisecondTimestamps {
 		_, err := fmt.Fprintf(writer, "%d.%03d 10.20.%d.%d \"%s HTTP/1.1\" 200 %.3f\n",
 			completed.Unix(), completed.Nanosecond()/1e6, random.IntN(4), random.IntN(250), request, duration)
 		return err
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -130,7 +130,7 @@
 
 // evaluateExecutions checks the executions in the ledger and compares the answers with them.
 func (r *Report) evaluateExecutions(ledger *standin.Ledger) {
-	findings := ledger.Check()
+	findings := ledger.Findings()
 	r.Findings = &findings
 	r.DuplicatedJobs = len(findings.Duplicated)
 	for _, id := range r.ServedIDs {
--- a/internal/rehearsal/soak/disktracer_linux_amd64.go
+++ b/internal/rehearsal/soak/disktracer_linux_amd64.go
@@ -18,7 +18,7 @@
 	)
 	rule := func(call faultinject.Call, probability float64, errno syscall.Errno, short int) faultinject.Rule {
 		return faultinject.Rule{
-			Call: call, Probability: probability, Error: errno, Short: short, After: duration / 4, For: duration / 2,
+			Call: call, Probability: probability, Error: errno, MaxBytes: short, Start: duration / 4, Duration: duration / 2,
 		}
 	}
 	plan := faultinject.Plan{Seed: seed, Rules: []faultinject.Rule{
--- a/internal/rehearsal/soak/tracer_linux_amd64.go
+++ b/internal/rehearsal/soak/tracer_linux_amd64.go
@@ -26,10 +26,10 @@
 		shortBytes = 50 // limit of shortened reads and writes
 	)
 	failing := func(call faultinject.Call, probability float64, errno syscall.Errno) faultinject.Rule {
-		return faultinject.Rule{Call: call, Probability: probability, Error: errno, After: duration / 4, For: duration / 2}
+		return faultinject.Rule{Call: call, Probability: probability, Error: errno, Start: duration / 4, Duration: duration / 2}
 	}
 	shortened := func(call faultinject.Call) faultinject.Rule {
-		return faultinject.Rule{Call: call, Probability: frequent, Short: shortBytes, After: duration / 4, For: duration / 2}
+		return faultinject.Rule{Call: call, Probability: frequent, MaxBytes: shortBytes, Start: duration / 4, Duration: duration / 2}
 	}
 	return faultinject.Plan{
 		Seed: seed,
@@ -47,9 +47,9 @@
 			failing(faultinject.SetOption, rare, syscall.ENOBUFS),
 		},
 		Steps: []faultinject.Step{
-			{After: duration / 5, Offset: time.Hour},
-			{After: duration * 2 / 5, Offset: -time.Hour},
-			{After: duration * 3 / 5, Offset: 3 * time.Second},
+			{Start: duration / 5, Offset: time.Hour},
+			{Start: duration * 2 / 5, Offset: -time.Hour},
+			{Start: duration * 3 / 5, Offset: 3 * time.Second},
 		},
 	}
 }
--- a/internal/rehearsal/standin/daemon.go
+++ b/internal/rehearsal/standin/daemon.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	f.daemon, err = daemonprocess.Start(daemonprocess.Config{
-		Program:   f.FleetConfig.Daemon,
+		Program:   f.FleetConfig.DaemonPath,
 		Arguments: arguments,
 		// This process's environment is not passed on: it might name workers that are no stand-ins.
 		Environment: []string{"BALANCER_FD=3", "TMPDIR=" + f.Dir},
--- a/internal/rehearsal/standin/fleet.go
+++ b/internal/rehearsal/standin/fleet.go
@@ -23,15 +23,15 @@
 
 // FleetConfig describes the environment that a Fleet starts.
 type FleetConfig struct {
-	Daemon      string // path of the daemon's executable
-	Dir         string // existing directory for the daemon's files
-	Classes     []ClassConfig
-	Workers     int     // number of workers, default 6; one in three is small and slow, as at the production site
-	Cores       float64 // of each worker; 0 uses the number of the worker's kind
-	Seed        uint64
-	Faktory     bool    // whether the daemon also starts its Faktory front end
-	Descriptors int     // limit of open descriptors in the daemon's configuration; default 4096
-	Noise       float64 // see WorkerConfig
+	DaemonPath       string // path of the daemon's executable
+	Dir              string // existing directory for the daemon's files
+	Classes          []ClassConfig
+	Workers          int     // number of workers, default 6; one in three is small and slow, as at the production site
+	WorkerSlots      float64 // of each worker; 0 uses the number of the worker's kind
+	Seed             uint64
+	Faktory          bool    // whether the daemon also starts its Faktory front end
+	Descriptors      int     // limit of open descriptors in the daemon's configuration; default 4096
+	RunTimeVariation float64 // see WorkerConfig
 
 	Operator string // path of the daemon's operator file, or empty for none
 }
@@ -126,20 +126,20 @@
 	index := len(f.Workers)
 	kind := workerKinds[index%len(workerKinds)]
 	slots := kind.slots
-	if f.Cores > 0 {
-		slots = f.Cores
+	if f.WorkerSlots > 0 {
+		slots = f.WorkerSlots
 	}
 	worker, err := StartWorker(WorkerConfig{
-		Name:         fmt.Sprintf("s-%04d", index+1),
-		Zone:         zoneNames[index/len(workerKinds)%len(zoneNames)],
-		Kind:         kind.name,
-		Slots:        slots,
-		Speed:        kind.speed,
-		Noise:        f.Noise,
-		WarmupShare:  warmupShare,
-		Warmup:       warmup,
-		Seed:         f.Seed + uint64(index),
-		SendsReports: true,
+		Name:             fmt.Sprintf("s-%04d", index+1),
+		Zone:             zoneNames[index/len(workerKinds)%len(zoneNames)],
+		Kind:             kind.name,
+		Slots:            slots,
+		Speed:            kind.speed,
+		RunTimeVariation: f.RunTimeVariation,
+		WarmupShare:      warmupShare,
+		Warmup:           warmup,
+		Seed:             f.Seed + uint64(index),
+		SendsReports:     true,
 	}, &f.Ledger, f.secret)
 	if err != nil {
 		return nil, err
--- a/internal/rehearsal/standin/ledger.go
+++ b/internal/rehearsal/standin/ledger.go
@@ -125,8 +125,8 @@
 	ByWorker   map[string]int `json:"by_worker"` // by worker, number of executions
 }
 
-// Check returns a summary of the ledger.
-func (l *Ledger) Check() Findings {
+// Findings returns a summary of the ledger.
+func (l *Ledger) Findings() Findings {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	findings := Findings{
--- a/internal/rehearsal/standin/worker.go
+++ b/internal/rehearsal/standin/worker.go
@@ -18,20 +18,20 @@
 // WorkerConfig describes how a worker behaves. A zero value stands for the default that the field's
 // comment gives.
 type WorkerConfig struct {
-	Name           string
-	Zone           string
-	Kind           string        // kind of machine
-	Slots          float64       // number of slots; default 3
-	Memory         float64       // units of memory, of which a job uses one for each slot; default one for each slot
-	QueueLimit     int           // number of jobs that can wait; default 10 for each slot
-	Speed          float64       // divides the service time of jobs; default 1
-	Noise          float64       // coefficient of variation of the duration of jobs; 0 for no variation
-	WarmupShare    float64       // share of the full speed at which the worker starts; 0 for no warm-up
-	Warmup         time.Duration // time from the start until the worker has its full speed
-	ReportInterval time.Duration // minimum time between two load reports; default 1 s
-	ReportLag      time.Duration // minimum age of the load report that is sent, if there is one so old
-	Seed           uint64
-	SendsReports   bool // whether answers contain load reports
+	Name             string
+	Zone             string
+	Kind             string        // kind of machine
+	Slots            float64       // number of slots; default 3
+	Memory           float64       // units of memory, of which a job uses one for each slot; default one for each slot
+	QueueLimit       int           // number of jobs that can wait; default 10 for each slot
+	Speed            float64       // divides the service time of jobs; default 1
+	RunTimeVariation float64       // coefficient of variation of the duration of jobs; 0 for no variation
+	WarmupShare      float64       // share of the full speed at which the worker starts; 0 for no warm-up
+	Warmup           time.Duration // time from the start until the worker has its full speed
+	ReportInterval   time.Duration // minimum time between two load reports; default 1 s
+	ReportLag        time.Duration // minimum age of the load report that is sent, if there is one so old
+	Seed             uint64
+	SendsReports     bool // whether answers contain load reports
 }
 
 const (
@@ -197,8 +197,8 @@
 func (w *Worker) runTime(job Job, run int) float64 {
 	random := rand.New(rand.NewPCG(w.Seed, xxhash.Sum64String(job.ID)+uint64(run)))
 	total := float64(max(job.ServiceTime, time.Microsecond))
-	if w.Noise > 0 {
-		variance := math.Log(1 + w.Noise*w.Noise) // variance of the logarithm of the duration
+	if w.RunTimeVariation > 0 {
+		variance := math.Log(1 + w.RunTimeVariation*w.RunTimeVariation) // variance of the logarithm of the duration
 		total *= math.Exp(random.NormFloat64()*math.Sqrt(variance) - variance/2)
 	}
 	return total / w.currentSpeed()
--- a/internal/rehearsal/standin/worker_test.go
+++ b/internal/rehearsal/standin/worker_test.go
@@ -164,7 +164,7 @@
 	if run("small").Start.Before(run("large").Start) || run("large").Start.Before(run("first").End) {
 		t.Error("the jobs were not started in order")
 	}
-	if findings := ledger.Check(); findings.Executed != 3 || len(findings.Duplicated) != 0 || len(findings.Unexpected) != 0 {
+	if findings := ledger.Findings(); findings.Executed != 3 || len(findings.Duplicated) != 0 || len(findings.Unexpected) != 0 {
 		t.Errorf("%+v, want 3 executed and nothing else", findings)
 	}
 }
@@ -253,7 +253,7 @@
 	if slowedDown := runs[1].End.Sub(runs[1].Start); slowedDown < slowdown*serviceTime*99/100 {
 		t.Errorf("the slowed-down run took %v, want about %v or more", slowedDown, slowdown*serviceTime)
 	}
-	if findings := ledger.Check(); !slices.Equal(findings.Duplicated, []string{"a"}) {
+	if findings := ledger.Findings(); !slices.Equal(findings.Duplicated, []string{"a"}) {
 		t.Errorf("%+v, want job a as duplicated", findings)
 	}
 }
@@ -280,7 +280,7 @@
 			t.Errorf("id %q on another path: status %d, want %d", id, answer.StatusCode, want)
 		}
 	}
-	if findings := ledger.Check(); len(findings.Unexpected) != 2 || findings.Executed != 0 {
+	if findings := ledger.Findings(); len(findings.Unexpected) != 2 || findings.Executed != 0 {
 		t.Errorf("%+v, want 2 unexpected and none executed", findings)
 	}
 }
--- a/internal/testkit/acceptedconn.go
+++ b/internal/testkit/acceptedconn.go
@@ -62,7 +62,7 @@
 // Accept waits for the next connection, and fails the test if none comes within Patience.
 func (l *Listener) Accept() *AcceptedConn {
 	l.t.Helper()
-	l.listener.SetDeadline(time.Now().Add(Patience))
+	l.listener.SetDeadline(time.Now().Add(WaitTimeout))
 	conn, err := l.listener.Accept()
 	if err != nil {
 		l.t.Fatal(err)
@@ -91,7 +91,7 @@
 
 // wrap returns the test's end of a connection.
 func (l *Listener) wrap(conn net.Conn) *AcceptedConn {
-	conn.SetDeadline(time.Now().Add(Patience))
+	conn.SetDeadline(time.Now().Add(WaitTimeout))
 	reader := bufio.NewReader(conn)
 	if l.ReadAhead > 0 {
 		reader = bufio.NewReaderSize(conn, l.ReadAhead)
--- a/internal/testkit/clientconn.go
+++ b/internal/testkit/clientconn.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(Patience))
+	conn.SetDeadline(time.Now().Add(WaitTimeout))
 	io.WriteString(conn, text)
 	return conn, bufio.NewReader(conn)
 }
--- a/internal/testkit/exchanges.go
+++ b/internal/testkit/exchanges.go
@@ -4,9 +4,9 @@
 
 // Exchange is a request of a client and the response that is expected, for tests of the front end's parser.
 type Exchange struct {
-	Request string // contains IDENTITY in place of the request's ID; WithID replaces it
-	Status  int    // expected status of the response
-	Ends    bool   // the connection is expected to end after the response
+	Request          string // contains IDENTITY in place of the request's ID; WithID replaces it
+	Status           int    // expected status of the response
+	ClosesConnection bool   // the connection is expected to end after the response
 }
 
 // Exchanges are requests to a front end whose worker client is an EchoWorkerClient. Tests send them in fixed and in
--- a/internal/testkit/rig.go
+++ b/internal/testkit/rig.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// Patience is the time limit of each wait in a test. It is reached only if something is broken.
-	Patience = 20 * time.Second
+	// WaitTimeout is the time limit of each wait in a test. It is reached only if something is broken.
+	WaitTimeout = 20 * time.Second
 
 	pollInterval       = 100 * time.Microsecond
 	defaultDescriptors = 900 // descriptor limit of a rig's engine
@@ -164,7 +164,7 @@
 	for {
 		dialed := make(chan error, 1)
 		r.Do(func() {
-			r.Engine.Dial(addr, Patience, nil, func(_ *transport.Conn, err error) { dialed <- err })
+			r.Engine.Dial(addr, WaitTimeout, nil, func(_ *transport.Conn, err error) { dialed <- err })
 		})
 		if err := Receive(t, dialed); err != nil {
 			return opened
@@ -187,7 +187,7 @@
 // Until waits until holds returns true, and fails the test after Patience. what describes the condition.
 func Until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	end := time.Now().Add(Patience)
+	end := time.Now().Add(WaitTimeout)
 	for !holds() {
 		if time.Now().After(end) {
 			t.Fatal("timed out waiting until ", what)
@@ -201,7 +201,7 @@
 	t.Helper()
 	select {
 	case value = <-c:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatal("timed out waiting for a value")
 	}
 	return value
--- a/internal/testkit/scriptedworker.go
+++ b/internal/testkit/scriptedworker.go
@@ -36,7 +36,7 @@
 	worker := &ScriptedWorker{listener: listener, arrivals: map[string]int{}}
 	t.Cleanup(func() {
 		listener.Close()
-		worker.HangUp()
+		worker.CloseConnections()
 	})
 	go worker.acceptConnections()
 	return worker
@@ -77,8 +77,8 @@
 	return len(w.connections)
 }
 
-// HangUp closes all connections, as a worker does with idle ones.
-func (w *ScriptedWorker) HangUp() {
+// CloseConnections closes all connections, as a worker does with idle ones.
+func (w *ScriptedWorker) CloseConnections() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, conn := range w.connections {
@@ -120,7 +120,7 @@
 			time.Sleep(time.Millisecond) // for every other split, so that the parts arrive separately
 		}
 		conn.Write([]byte(response[split:]))
-		if strings.Contains(response, HangUpField) || !strings.Contains(response, "\r\n\r\n") {
+		if strings.Contains(response, CloseConnectionField) || !strings.Contains(response, "\r\n\r\n") {
 			return
 		}
 	}
--- a/internal/testkit/workerresponses.go
+++ b/internal/testkit/workerresponses.go
@@ -29,15 +29,15 @@
 	{"HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
 	{"HTTP/1.1 400 Bad\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
 	{"", dispatch.Failed},
-	{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + HangUpField + "\r\n1e\r\n{\"id\":\"IDENTITY\",\"state\":\"started\"}\r\n", dispatch.Failed},
+	{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + CloseConnectionField + "\r\n1e\r\n{\"id\":\"IDENTITY\",\"state\":\"started\"}\r\n", dispatch.Failed},
 	{ChunkedResponse(strings.Replace(DoneLine, "IDENTITY", "another1", 1)), dispatch.Failed},
 	{ChunkedResponse(`{"id":"IDENTITY","state":`), dispatch.Failed},
 	{ChunkedResponse(`{"id":"IDENTITY","state":"dreaming"}`), dispatch.Failed},
 	{ChunkedResponse(), dispatch.Failed},
 	{"nonsense\r\n\r\n", dispatch.Failed},
 	{StatusLineOK + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", dispatch.Failed},
-	{StatusLineOK + HangUpField + "\r\n" + DoneText, dispatch.Served},
-	{"HTTP/1.1 100 Continue\r\n\r\n" + StatusLineOK + "Connection: close\r\n" + HangUpField + "\r\n" + DoneText + "\n", dispatch.Served},
+	{StatusLineOK + CloseConnectionField + "\r\n" + DoneText, dispatch.Served},
+	{"HTTP/1.1 100 Continue\r\n\r\n" + StatusLineOK + "Connection: close\r\n" + CloseConnectionField + "\r\n" + DoneText + "\n", dispatch.Served},
 }
 
 // ChunkedResponse returns a worker's response whose body has a chunk for each line. The lines are job updates.
@@ -55,8 +55,8 @@
 	StatusLineOK = "HTTP/1.1 200 OK\r\n"
 	// WatchHead is the head of a chunked 200 response: a worker's to a request, or that of discovery to a watch.
 	WatchHead = StatusLineOK + "Transfer-Encoding: chunked\r\n\r\n"
-	// HangUpField is a header field that makes a ScriptedWorker close the connection after the response.
-	HangUpField = "X-Note: HANG UP\r\n"
+	// CloseConnectionField is a header field that makes a ScriptedWorker close the connection after the response.
+	CloseConnectionField = "X-Note: HANG UP\r\n"
 	// DoneLine is a job update that completes a request with the result "made" and a load report.
 	DoneLine = `{"id":"IDENTITY","from":"s","state":"done","result":"made","load":{"x0":1.5,"backlog":2}}`
 	// DoneText is a job update that completes a request with the result "made" alone, for bodies without chunks.
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -41,7 +41,7 @@
 			response := testkit.WorkerResponses[int(steps[i])%closeBefore%len(testkit.WorkerResponses)]
 			closed := steps[i]&closeBefore != 0
 			if closed {
-				worker.HangUp()
+				worker.CloseConnections()
 			}
 			worker.SetScripts(response.Script)
 			worker.SplitResponses(int(steps[i+1]))
@@ -62,7 +62,7 @@
 	var got dispatch.Response
 	select {
 	case got = <-responses:
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatalf("no response to %q", response.Script)
 	}
 	arrivals := worker.Arrivals(id)
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -107,7 +107,7 @@
 	other := c.client.acquire(c.worker, c.attempt.RetryUnsafe)
 	other.assign(c.attempt)
 	other.newConnectionFailed = newConnectionFailed
-	if other.state != stateDialing && !c.client.dispatcher.ClientGone(other.handle) {
+	if other.state != stateDialing && !c.client.dispatcher.ClientDisconnected(other.handle) {
 		other.send()
 	}
 }
--- a/internal/workerclient/dial.go
+++ b/internal/workerclient/dial.go
@@ -70,7 +70,7 @@
 	case c.dial.abandoned || !c.hasAttempt() && !c.request.isHealthCheck():
 		c.dial.abandoned = false
 		c.release()
-	case c.hasAttempt() && c.client.dispatcher.ClientGone(c.handle): // the dispatcher has cancelled the attempt
+	case c.hasAttempt() && c.client.dispatcher.ClientDisconnected(c.handle): // the dispatcher has cancelled the attempt
 	default:
 		c.send()
 	}
--- a/internal/workerclient/healthcheck.go
+++ b/internal/workerclient/healthcheck.go
@@ -79,7 +79,7 @@
 		return
 	}
 	c.client.registry.HealthCheckPassed(c.worker, c.request.sentAt)
-	if c.client.dispatcher.ClientGone(handle) { // the dispatcher has cancelled the attempt
+	if c.client.dispatcher.ClientDisconnected(handle) { // the dispatcher has cancelled the attempt
 		return
 	}
 	if reusable {
--- a/internal/workerclient/lastbyte.go
+++ b/internal/workerclient/lastbyte.go
@@ -38,7 +38,7 @@
 		c.close()
 		return
 	}
-	if c.client.dispatcher.ClientGone(c.handle) { // the dispatcher has cancelled the attempt
+	if c.client.dispatcher.ClientDisconnected(c.handle) { // the dispatcher has cancelled the attempt
 		return
 	}
 	tooLate := now-c.request.lastByte.due > maxLastByteLateness
--- a/internal/workerclient/pool_test.go
+++ b/internal/workerclient/pool_test.go
@@ -32,7 +32,7 @@
 				client.CheckHealth(soleWorker)
 			}
 		})
-		for end := time.Now().Add(testkit.Patience); ; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testkit.WaitTimeout); ; time.Sleep(time.Millisecond) {
 			idle, open := 0, 0
 			rig.Do(func() {
 				idle = len(client.idle[client.registry.Worker(soleWorker)])
