--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -8,7 +8,7 @@
 // After a failed call for the endpoint list, the next call follows after a backoff, from a twentieth of
 // ListPollInterval up to half of it. If there are many dispatchers, all calls are also spread over time, so
 // that a list service that answers seven calls a second keeps up, and three calls that fail still fit into
-// ListPollInterval. This was measured with 36 and 300 dispatchers.
+// ListPollInterval, with 36 as with 300 dispatchers.
 const (
 	minListBackoffDivisor  = 20    // the smallest backoff is ListPollInterval divided by this
 	maxListBackoffDivisor  = 2     // the largest backoff is ListPollInterval divided by this
@@ -20,7 +20,7 @@
 // endpointList is the state of the endpoint list itself; the workers that it names are in Machine.workers.
 type endpointList struct {
 	snapshots     uint64          // number of complete lists so far
-	nominalWeight map[int]float64 // the largest weight seen, by machine kind
+	nominalWeight map[int]float64 // the largest weight seen, by worker kind
 	backoff       time.Duration   // backoff after the latest call for the list; 0 if that call did not fail
 }
 
@@ -65,7 +65,7 @@
 // subscribeDelay is a random wait before a call for the list, so that many dispatchers do not call at the
 // same moment.
 func (m *Machine) subscribeDelay() time.Duration {
-	if !m.settings.LargeFleet() {
+	if !m.settings.ManyDispatchers() {
 		return 0
 	}
 	part := min(float64(m.settings.Peers-manyDispatchersThreshold)*subscribeSpreadPerPeer, maxSubscribeSpread)
--- a/decision/event.go
+++ b/decision/event.go
@@ -39,7 +39,7 @@
 	ClientRetry bool          // the client marked the request as a retry
 	Key         string        // identifies what the request concerns; may be empty
 	Outcome     AttemptOutcome
-	Answered    bool // the request has its final answer
+	Answered    bool // the request has its final response
 	Load        LoadReport
 	Fraction    float64 // fraction of the work that is done, 0 to 1
 	Reservation float64 // amount taken from a worker's slow-start budget, in hinted slot-seconds
@@ -50,7 +50,7 @@
 	// Settings hold new values of TenantQuotas, OverQuotaWeight and MaxRetryAfter, and of the
 	// PriorityWeight, LateWeight, LatencyObjective and ObjectiveStretch of Classes; all other fields are
 	// ignored. Open requests keep the value and the objective that they were admitted with. Settings that
-	// New would refuse, or that change the number of classes or tenants, have no effect.
+	// New would reject, or that change the number of classes or tenants, have no effect.
 	Settings *Settings
 }
 
@@ -126,7 +126,7 @@
 type Endpoint struct {
 	Name      string // identity and address
 	Zone      int
-	Kind      int // machine kind
+	Kind      int // worker kind
 	Cell      int // deduplication cell within the zone
 	State     WorkerState
 	StartedAt time.Duration // time of the last start, on the time scale of Handle; 0: long ago
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -175,7 +175,7 @@
 }
 
 // A worker that gets only requests that must not run twice does not stay ejected forever.
-func TestFailureScoreFades(t *testing.T) {
+func TestFailureScoreDecays(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	id := rig.arrive(1)
 	bad := rig.workers[rig.assignedTo(id)]
@@ -192,7 +192,7 @@
 
 // A request that a worker reports as invalid fails at once: it is not sent to another worker, and it counts
 // neither against that worker nor against the fleet.
-func TestInvalidRequestBlamesNoWorker(t *testing.T) {
+func TestInvalidRequestIsNoWorkerFailure(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	before := rig.ceilings.concurrencyPerWorker
 	for i := range 2 * maxConsecutiveInvalid {
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -34,22 +34,22 @@
 	return s == DedupEverywhere || a.Zone == b.Zone && (s == DedupWithinZone || a.Cell == b.Cell)
 }
 
-// Class describes one class of requests. An answer within the latency objective, LatencyObjective +
+// Class describes one class of requests. A response within the latency objective, LatencyObjective +
 // ObjectiveStretch * work after the first try, earns PriorityWeight; a later one earns LateWeight of it.
 type Class struct {
 	Name             string  // for logs and protocols; no decision depends on it
-	PriorityWeight   float64 // what an answer within the latency objective earns
-	LateWeight       float64 // fraction of PriorityWeight that a later answer earns
+	PriorityWeight   float64 // what a response within the latency objective earns
+	LateWeight       float64 // fraction of PriorityWeight that a later response earns
 	LatencyObjective time.Duration
 	ObjectiveStretch float64       // if this and LatencyObjective are 0, the objective is Deadline
 	Deadline         time.Duration // how long a client waits in total
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for Deduplicated
-	DedupWindow      time.Duration // for Deduplicated: how long the workers remember a request
-	Kinds            []int         // the only machine kinds that may run the class; nil: any
+	DedupWindow      time.Duration // for Deduplicated: how long the workers detect repeats of a request
+	Kinds            []int         // the only worker kinds that may run the class; nil: any
 	Zones            []int         // the only zones in which the class may run; nil: any
 	Serialized       bool          // requests of such classes with the same key run one at a time, by arrival
-	Streaming        bool          // the answer is a stream, whose beginning FirstByte reports
+	Streaming        bool          // the response is a stream, whose beginning FirstByte reports
 }
 
 // mayRunOn reports whether the class may run on a worker, by the worker's kind and zone in the latest list.
@@ -103,10 +103,10 @@
 
 	// The following fields are for the code that carries out the actions; no decision depends on them.
 
-	ZoneNames  []string      // names of zones by their number
-	KindNames  []string      // names of machine kinds by their number
-	FreeSlots  string        // name of the load report's field with the free slots; empty if there is none
-	DrainGrace time.Duration // how long a worker may still be sent to after it is known to be draining
+	ZoneNames      []string      // names of zones by their number
+	KindNames      []string      // names of worker kinds by their number
+	FreeSlotsField string        // name of the load report's field with the free slots; empty: there is none
+	DrainGrace     time.Duration // how long a worker may still be sent to after it is known to be draining
 }
 
 // manyDispatchersThreshold is the largest number of dispatchers that may call for the endpoint list at the
@@ -114,9 +114,9 @@
 // still serve that many.
 const manyDispatchersThreshold = 8
 
-// LargeFleet reports whether there are so many dispatchers that their calls for the endpoint list must be
-// spread over time. Until its first call, a dispatcher uses the initial endpoint list.
-func (s *Settings) LargeFleet() bool { return s.Peers > manyDispatchersThreshold }
+// ManyDispatchers reports whether there are so many dispatchers that their calls for the endpoint list must
+// be spread over time. Until its first call, a dispatcher uses the initial endpoint list.
+func (s *Settings) ManyDispatchers() bool { return s.Peers > manyDispatchersThreshold }
 
 // normalize checks the settings and replaces zero values that are not usable. It does not modify the
 // caller's Classes.
@@ -138,7 +138,7 @@
 	if err := checkAmount("OverQuotaWeight", s.OverQuotaWeight); err != nil {
 		return err
 	}
-	if !(s.SlowStartFloor >= 0 && s.SlowStartFloor <= 1) { // NaN is refused as well
+	if !(s.SlowStartFloor >= 0 && s.SlowStartFloor <= 1) { // NaN is rejected as well
 		return errors.New("settings: SlowStartFloor must be between 0 and 1")
 	}
 	if s.KeyCooldown < 0 {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// checkAmount refuses a number that is negative, infinite or NaN.
+// checkAmount rejects a number that is negative, infinite or NaN.
 func checkAmount(field string, x float64) error {
 	if !(x >= 0) || math.IsInf(x, 0) {
 		return fmt.Errorf("settings: %s must be finite and not negative", field)
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// checkPlacement refuses a list of kinds or zones that is empty but not nil, or that has a negative number.
+// checkPlacement rejects a list of kinds or zones that is empty but not nil, or that has a negative number.
 func checkPlacement(class int, field string, list []int) error {
 	if list != nil && (len(list) == 0 || slices.Min(list) < 0) {
 		return fmt.Errorf("settings: Classes[%d].%s must name one at least, or be nil", class, field)
--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -15,7 +15,7 @@
 const initialListTimeout = time.Second
 
 // initialEndpoints is the endpoint list that was given at the start. It is withheld from the dispatcher until the source
-// answers or the timeout expires. If the first answer is a delta, it is merged into the list, and both are published
+// answers or the timeout expires. If the first response is a delta, it is merged into the list, and both are published
 // together.
 type initialEndpoints struct {
 	entries map[string]decision.Endpoint // by worker name; nil if no list is withheld
@@ -65,8 +65,8 @@
 // No worker is taken from an invalid list, for which an error is returned.
 //
 // The list may be old. Requests are accepted at once, since clients have no other dispatcher to use, but they wait until
-// the source has sent what has changed, or until initialListTimeout has passed. In a large fleet, whose dispatchers
-// subscribe in turn, the first update may take long, so the initial list is used at once.
+// the source has sent what has changed, or until initialListTimeout has passed. If there are many dispatchers, they
+// subscribe in turn and the first update may take long, so the initial list is used at once.
 func (r *Registry) LoadInitial(raw []byte) error {
 	list := endpointList{Snapshot: true}
 	if len(raw) > 0 {
@@ -97,7 +97,7 @@
 		return
 	}
 	settings := &r.dispatcher.Settings
-	subscribesLater := settings.ListBySubscription && settings.LargeFleet() // the dispatcher calls Subscribe
+	subscribesLater := settings.ListBySubscription && settings.ManyDispatchers() // the dispatcher calls Subscribe
 	if r.watch.address == "" || subscribesLater {
 		r.publishInitial(nil)
 		r.watch.scheduleReconnect(r.watch.lastContact)
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -17,12 +17,12 @@
 // These tests check that the discovery watch keeps to the protocol's bound: whatever the settings are, a change counts as
 // notified once discovery has had it and been reachable for 6 s.
 
-// checkNextCall checks, on the loop's goroutine, that an answer to the next call fits into the notification bound,
+// checkNextCall checks, on the loop's goroutine, that a response to the next call fits into the notification bound,
 // counted from the last contact.
 func (w *watch) checkNextCall(t *testing.T) {
 	t.Helper()
 	now := w.registry.dispatcher.Loop.Now()
-	latest := max(w.lastContact+freshness.NotificationBound-answerTimeout, w.notBefore)
+	latest := max(w.lastContact+freshness.NotificationBound-responseTimeout, w.notBefore)
 	switch {
 	case w.calling:
 	case w.nextCallAt == 0:
@@ -34,15 +34,15 @@
 	}
 }
 
-// A call that is never answered or a watch that goes silent, the least backoff after it, and the answer to the next call
-// must together fit into the notification bound.
+// A call that is never answered or a watch that goes silent, the least backoff after it, and the response to the next
+// call must together fit into the notification bound.
 func TestTimeoutsFitNotificationBound(t *testing.T) {
 	for _, silence := range []time.Duration{watchCallTimeout, watchLineTimeout} {
-		if sum := silence + minBackoff + answerTimeout; sum > freshness.NotificationBound {
+		if sum := silence + minBackoff + responseTimeout; sum > freshness.NotificationBound {
 			t.Errorf("%v of silence, the least backoff and an answer take %v", silence, sum)
 		}
 	}
-	if watchConnectTimeout+answerTimeout > watchCallTimeout+minBackoff+answerTimeout || watchConnectTimeout > watchCallTimeout {
+	if watchConnectTimeout+responseTimeout > watchCallTimeout+minBackoff+responseTimeout || watchConnectTimeout > watchCallTimeout {
 		t.Error("a call may take longer to connect than in all")
 	}
 }
@@ -79,12 +79,12 @@
 }
 
 // checkReconnect checks that a dispatcher whose first call is ended by endCall schedules the next one in time, and
-// applies its answer.
+// applies its response.
 func checkReconnect(t *testing.T, rig *testkit.Rig, endCall func(discoveryCall)) {
 	t.Helper()
 	addr, calls := listenForCalls(t)
 	registry := followDiscovery(t, rig, addr)
-	rig.Do(func() { // the first call of a large fleet has jitter
+	rig.Do(func() { // with many dispatchers the first call has jitter
 		registry.watch.checkNextCall(t)
 		registry.Subscribe()
 	})
@@ -132,18 +132,18 @@
 	}
 }
 
-// Discovery moves during the backoff after a failed call, and the first call to the new address fails too. What was
-// scheduled for the former address neither delays nor duplicates a call.
-func TestMoveToAfterOutage(t *testing.T) {
+// The address of discovery changes during the backoff after a failed call, and the first call to the new address fails
+// too. What was scheduled for the former address neither delays nor duplicates a call.
+func TestChangeAddressAfterOutage(t *testing.T) {
 	rig := testkit.NewRig(t).WithSubscription(t, 300, time.Hour)
 	former, formerCalls := listenForCalls(t)
 	next, nextCalls := listenForCalls(t)
 	registry := followDiscovery(t, rig, former)
-	rig.Do(func() { registry.Subscribe() }) // without the jitter of a large fleet
+	rig.Do(func() { registry.Subscribe() }) // without the jitter for many dispatchers
 	testkit.Receive(t, formerCalls).Close()
 	waitOnLoop(t, rig, "the call has failed", func() bool { return registry.watch.nextCallAt > 0 })
 	rig.Do(func() {
-		registry.MoveTo(next)
+		registry.ChangeAddress(next)
 		if !registry.watch.calling || registry.watch.nextCallAt != 0 {
 			t.Error("the new address is not called at once, or twice")
 		}
@@ -187,11 +187,11 @@
 		})
 		addr, calls := listenForCalls(t)
 		registry := followDiscovery(t, rig, addr)
-		end := time.Now().Add(testkit.Patience)
+		end := time.Now().Add(testkit.WaitTimeout)
 		for i := range 24 { // a backoff of seconds, or one that doubles, takes far longer
 			call := testkit.Receive(t, calls)
 			if time.Now().After(end) {
-				t.Fatalf("%d calls in %v", i, testkit.Patience)
+				t.Fatalf("%d calls in %v", i, testkit.WaitTimeout)
 			}
 			if call.query != "watch=1&after=41" {
 				t.Fatalf("call %d: %s", i, call.query)
@@ -202,7 +202,7 @@
 	}
 }
 
-// answerAgentCalls answers calls with laterSnapshot until an answer has arrived before the timeout of its call.
+// answerAgentCalls answers calls with laterSnapshot until a response has arrived before the timeout of its call.
 func answerAgentCalls(t *testing.T, rig *testkit.Rig, registry *Registry, calls chan discoveryCall) {
 	t.Helper()
 	call := testkit.Receive(t, calls)
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -11,8 +11,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A compressed answer to a poll is also read if the server closes the connection after it.
-func TestCompressedAnswerBeforeClose(t *testing.T) {
+// A compressed response to a poll is also read if the server closes the connection after it.
+func TestCompressedResponseBeforeClose(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
 	first := server.expectRequest(pollQuery(0))
@@ -25,8 +25,8 @@
 	follower.waitForVersion(7, "a=ready")
 }
 
-// A start time that does not fit into a time.Duration counts as unknown. Such a time used to overflow, so that the worker
-// counted as one that had started 292 years before 1970.
+// A start time that does not fit into a time.Duration counts as unknown. Guards against an overflow, by which the worker
+// counts as one that has started 292 years before 1970.
 func TestStartTimesBeyondADuration(t *testing.T) {
 	rig := testkit.NewRig(t)
 	registry := newRegistry(rig, "")
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -89,7 +89,7 @@
 
 func (s *subscription) now() time.Duration { return s.follower.registry.dispatcher.Loop.Now() }
 
-func (s *subscription) onConnected() { s.exclusiveUntil = s.now() + answerStagger }
+func (s *subscription) onConnected() { s.exclusiveUntil = s.now() + responseStagger }
 
 // receiving reports whether the response to a poll is arriving.
 func (s *subscription) receiving() bool { return s.poll.inProgress && s.poll.conn.response.headRead }
@@ -140,7 +140,7 @@
 	return s.poll.body.append(piece, s.poll.conn.response.remaining)
 }
 
-// onCaughtUp applies the answer to the poll that catches up, and opens a watch that continues from it.
+// onCaughtUp applies the response to the poll that catches up, and opens a watch that continues from it.
 func (s *subscription) onCaughtUp(change membershipChange, err error) {
 	follower := s.follower
 	inForce := follower.inForce.version
@@ -157,7 +157,7 @@
 		follower.subscriptionFailed(s, errBaseMismatch)
 		return
 	}
-	s.exclusiveUntil = s.now() + answerStagger
+	s.exclusiveUntil = s.now() + responseStagger
 	s.watch.conn.get(s.requestTarget("watch=1&", change.version))
 	if s == follower.active {
 		follower.acknowledgement.recordSent(s.now(), s.poll.after)
@@ -165,7 +165,7 @@
 	}
 }
 
-// detectIgnoredVersion sets ignoresVersion if the answer to a poll is a snapshot of the very version polled from.
+// detectIgnoredVersion sets ignoresVersion if the response to a poll is a snapshot of the very version polled from.
 func (s *subscription) detectIgnoredVersion(change membershipChange) {
 	if s.poll.after > 0 && change.snapshot && change.version == s.poll.after {
 		s.ignoresVersion = true
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,7 +16,7 @@
 	watchConnectTimeout = time.Second
 	watchCallTimeout    = 3 * time.Second // from its start to the first line; discovery handles calls in turn
 	watchLineTimeout    = 3 * time.Second // between lines; one comes every 2 s at the latest
-	watchPartTimeout    = time.Second     // between the parts of an incomplete answer or line
+	watchPartTimeout    = time.Second     // between the parts of an incomplete response or line
 
 	// unreadDataGrace extends a timeout once if bytes have arrived that the loop, running late, has yet to read.
 	unreadDataGrace = 10 * time.Millisecond
@@ -52,10 +52,10 @@
 	calling     bool
 	conn        *transport.Conn // nil until connected
 	response    responseReader
-	established bool // the first line of the answer has arrived
+	established bool // the first line of the response has arrived
 	splitter    objectSplitter
 
-	deadline        time.Duration // the latest time to which a partial answer may move the timeout
+	deadline        time.Duration // the latest time to which a partial response may move the timeout
 	timeoutExtended bool          // by unreadDataGrace
 }
 
@@ -78,9 +78,9 @@
 // SetAddress sets the address of discovery before the first call.
 func (r *Registry) SetAddress(addr string) { r.watch.address = addr }
 
-// MoveTo continues the watch at another address, at once and from the version reached. The list and all attempts in
-// flight are kept.
-func (r *Registry) MoveTo(addr string) {
+// ChangeAddress continues the watch at another address, at once and from the version reached. The list and all attempts
+// in flight are kept.
+func (r *Registry) ChangeAddress(addr string) {
 	r.watch.address = addr
 	if r.follower == nil {
 		r.watch.open()
@@ -161,7 +161,7 @@
 	w.notBefore = now + minBackoff
 	w.registry.publishInitial(nil)
 	w.reportFailure()
-	if failure == freshness.BrokenOff { // discovery is reachable, so the notification bound has begun to run
+	if failure == freshness.IncompleteResponse { // discovery is reachable, so the notification bound has begun to run
 		w.scheduleCall(w.notBefore)
 		return
 	}
@@ -174,18 +174,18 @@
 	var status statusError
 	switch {
 	case w.conn == nil, errors.As(cause, &status), transport.IsLocalError(cause):
-		return freshness.NotReached
+		return freshness.SourceUnreachable
 	case w.usesAgent():
 		if w.response.headRead && !w.established {
-			return freshness.BrokenOff
+			return freshness.IncompleteResponse
 		}
-		return freshness.NotReached
+		return freshness.SourceUnreachable
 	case cause == errWatchEnded && w.established && !w.midLine(): // as in an orderly shutdown
-		return freshness.NotReached
+		return freshness.SourceUnreachable
 	case w.response.headRead:
-		return freshness.BrokenOff
+		return freshness.IncompleteResponse
 	}
-	return freshness.NotReached
+	return freshness.SourceUnreachable
 }
 
 // onTimeout ends a call for which nothing has arrived in time. If bytes are waiting to be read, the timeout is extended
--- a/internal/dispatch/cancellation.go
+++ b/internal/dispatch/cancellation.go
@@ -23,23 +23,23 @@
 	d.cleanUp(request)
 }
 
-// ClientGone reports whether the client of an attempt's request has disconnected. If so, it has cancelled the request
+// ClientDisconnected reports whether the client of an attempt's request has disconnected. If so, it has cancelled the request
 // and stopped the attempt. It also returns true if the attempt is not open any more. A worker client calls it right
 // before it sends the bytes that let the worker begin.
-func (d *Dispatcher) ClientGone(attemptHandle uint64) bool {
+func (d *Dispatcher) ClientDisconnected(attemptHandle uint64) bool {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil {
 		return true
 	}
 	request := d.requests.Get(attempt.requestHandle)
-	return !request.answered && d.cancelIfClientLeft(request)
+	return !request.answered && d.cancelIfDisconnected(request)
 }
 
-// cancelIfClientLeft cancels a request whose client has disconnected, and reports whether it did so. It never cancels
+// cancelIfDisconnected cancels a request whose client has disconnected, and reports whether it did so. It never cancels
 // the request of a leased job, which is to run whether or not its client waits.
-func (d *Dispatcher) cancelIfClientLeft(request *openRequest) bool {
+func (d *Dispatcher) cancelIfDisconnected(request *openRequest) bool {
 	watcher, ok := request.frontEnd.(ClientWatcher)
-	if !ok || request.Leaser != nil || !watcher.ClientLeft(request.token) {
+	if !ok || request.Leaser != nil || !watcher.ClientDisconnected(request.token) {
 		return false
 	}
 	mayHaveRun := d.Cancel(request.handle)
--- a/internal/dispatch/contradiction_test.go
+++ b/internal/dispatch/contradiction_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards against a renewal that is charged twice: a worker connection that had sent the last byte of an attempt claimed
-// afterwards that nothing was sent. The claim was accepted, and the renewal was retried at a second worker.
+// Guards against a renewal that is charged twice: a worker connection that has sent the last byte of an attempt claims
+// afterwards that nothing was sent. If the claim is accepted, the renewal is retried at a second worker.
 func TestNeverSentClaimAfterLastByteIsRejected(t *testing.T) {
 	for name, claim := range map[string]func(*contradictionTest){
 		"sent, then not sent": func(c *contradictionTest) {
@@ -80,9 +80,9 @@
 			c.dispatcher.AttemptStarted(c.firstAttempt)
 			c.end(decision.NotSent)
 		},
-		"sent, then moved": func(c *contradictionTest) {
+		"sent, then resent": func(c *contradictionTest) {
 			c.dispatcher.AttemptSent(c.firstAttempt)
-			if c.dispatcher.MayMove(c.firstAttempt) {
+			if c.dispatcher.MayResend(c.firstAttempt) {
 				t.Error("an attempt that was sent may be sent again")
 			}
 		},
@@ -118,12 +118,12 @@
 	}
 }
 
-// Guards against an attempt that is sent after its end: an attempt that has ended may not be moved to another
-// connection. To ask for such a move violates no invariant.
-func TestEndedAttemptIsNotMoved(t *testing.T) {
+// Guards against an attempt that is sent after its end: an attempt that has ended may not be resent on another
+// connection. A call of MayResend for it violates no invariant.
+func TestEndedAttemptIsNotResent(t *testing.T) {
 	test := newContradictionTest(t)
 	test.end(decision.ConnectionLost)
-	if test.dispatcher.MayMove(test.firstAttempt) {
+	if test.dispatcher.MayResend(test.firstAttempt) {
 		t.Error("an attempt that has ended may be sent again")
 	}
 	if got := test.dispatcher.Guard.Violated(); len(got) > 0 {
--- a/internal/dispatch/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -73,7 +73,7 @@
 func (d *Dispatcher) IsKnownID(id string) bool { return d.ids.known(d.ids.hash(id)) }
 
 // RequestIDs returns the key under which request IDs are hashed, and the hashed IDs of the open and the recent
-// requests. A successor process takes them over with AdoptIDKey and BlockIDs.
+// requests. A successor process takes them over with AdoptIDKey and AddKnownIDs.
 func (d *Dispatcher) RequestIDs() (key []byte, hashes []uint64) {
 	for hash := range d.ids.open {
 		hashes = append(hashes, hash)
@@ -85,8 +85,8 @@
 // request is accepted.
 func (d *Dispatcher) AdoptIDKey(key []byte) { copy(d.ids.key[:], key) }
 
-// BlockIDs adds these hashed IDs to the known IDs, since another process has or had requests with them.
-func (d *Dispatcher) BlockIDs(hashes []uint64) {
+// AddKnownIDs adds these hashed IDs to the known IDs, since another process has or had requests with them.
+func (d *Dispatcher) AddKnownIDs(hashes []uint64) {
 	for _, hash := range hashes {
 		d.ids.remember(hash)
 	}
--- a/internal/faktory/proxyheader_test.go
+++ b/internal/faktory/proxyheader_test.go
@@ -16,11 +16,11 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// Guards against a rejection that an operator cannot find: a connection with an invalid PROXY header was rejected without
-// being counted, and was logged with an invalid address.
+// Guards against a rejection that an operator cannot find: a connection with an invalid PROXY header is rejected without
+// being counted, or is logged with an invalid address.
 func TestBadProxyHeaderIsCountedAndLogged(t *testing.T) {
 	settings := testSettings()
-	if err := Prepare(&settings); err != nil {
+	if err := AddWorkerKinds(&settings); err != nil {
 		t.Fatal(err)
 	}
 	rig := testkit.NewRig(t, func(rigSettings *decision.Settings) { *rigSettings = settings })
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -33,7 +33,7 @@
 	engine         *transport.Engine
 	password       string         // empty if none is required
 	classIndexes   map[string]int // by name
-	firstClassKind int            // worker kind firstClassKind+set is for the classSet set, see Prepare
+	firstClassKind int            // worker kind firstClassKind+set is for the classSet set, see AddWorkerKinds
 
 	gate        *listener.Gate
 	acceptor    *transport.Acceptor
@@ -112,7 +112,7 @@
 	accepted := &connection{server: s, conn: conn}
 	accepted.input.pool = &s.engine.Pool
 	accepted.token = s.connections.Insert(accepted)
-	accepted.admissionID = s.gate.Accepted(frontEndNumber, accepted.token, conn.AdmissionToken)
+	accepted.admissionID = s.gate.RegisterConnection(frontEndNumber, accepted.token, conn.AdmissionToken)
 	accepted.deadline.Fire = accepted.onDeadline
 	accepted.setDeadline(helloTimeout)
 	accepted.awaitsProxyHeader = s.gate.Limiter.TrustOf(accepted.admissionID) == connlimit.TrustedProxy
@@ -175,8 +175,8 @@
 	c.respond(response)
 }
 
-// ClientLeft reports whether the producer of a PUSH has closed its connection.
-func (s *Server) ClientLeft(token uint64) bool {
+// ClientDisconnected reports whether the producer of a PUSH has closed its connection.
+func (s *Server) ClientDisconnected(token uint64) bool {
 	c := s.connections.Get(token)
 	return c == nil || c.conn.PeerClosed()
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -15,20 +15,20 @@
 // event records something in the Tracker; it is nil in steps in which only time passes.
 type event func(t *Tracker, now time.Duration)
 
-func confirmed(t *Tracker, now time.Duration)  { t.Confirmed(now) }
-func notReached(t *Tracker, now time.Duration) { t.Failed(now, NotReached) }
-func brokenOff(t *Tracker, now time.Duration)  { t.Failed(now, BrokenOff) }
-func stalled(t *Tracker, now time.Duration)    { t.Stalled(now) }
+func confirmed(t *Tracker, now time.Duration)          { t.Confirmed(now) }
+func sourceUnreachable(t *Tracker, now time.Duration)  { t.Failed(now, SourceUnreachable) }
+func incompleteResponse(t *Tracker, now time.Duration) { t.Failed(now, IncompleteResponse) }
+func stalled(t *Tracker, now time.Duration)            { t.Stalled(now) }
 
-// step is one step of a scenario: an event at a time, and the expected Knowledge right after it.
+// step is one step of a scenario: an event at a time, and the expected State right after it.
 type step struct {
 	at    time.Duration
 	event event
-	want  Knowledge
+	want  State
 }
 
-// knowledgeScenarios begin with a list that was confirmed at time 0, where workers have no health checks.
-var knowledgeScenarios = map[string][]step{
+// stateScenarios begin with a list that was confirmed at time 0, where workers have no health checks.
+var stateScenarios = map[string][]step{
 	"confirmed in time": {
 		{5 * second, confirmed, Current},
 		{10 * second, nil, Current},
@@ -38,27 +38,27 @@
 		{5800 * millisecond, nil, Current},
 		{6 * second, nil, Unknown},
 	},
-	"calls that break off do not extend the bound": {
-		{3 * second, brokenOff, Current},
-		{5800 * millisecond, brokenOff, Current},
+	"incomplete responses do not extend the bound": {
+		{3 * second, incompleteResponse, Current},
+		{5800 * millisecond, incompleteResponse, Current},
 		{6 * second, nil, Unknown},
 		{7 * second, confirmed, Current},
 	},
 	"an outage": {
-		{2 * second, notReached, Current},
-		{5 * second, notReached, Current},
+		{2 * second, sourceUnreachable, Current},
+		{5 * second, sourceUnreachable, Current},
 		{6 * second, nil, Unconfirmed},
-		{9 * second, notReached, Unconfirmed},
+		{9 * second, sourceUnreachable, Unconfirmed},
 		{16 * second, nil, Unconfirmed},
 		{17 * second, nil, Unknown},
 	},
 	"an outage that ends with an incomplete response": {
-		{5 * second, notReached, Current},
-		{7 * second, brokenOff, Unknown},
+		{5 * second, sourceUnreachable, Current},
+		{7 * second, incompleteResponse, Unknown},
 	},
 	"an incomplete response, then an outage": {
-		{5 * second, brokenOff, Current},
-		{7 * second, notReached, Unconfirmed},
+		{5 * second, incompleteResponse, Current},
+		{7 * second, sourceUnreachable, Unconfirmed},
 	},
 	"a message read right after a stall confirms nothing": {
 		{10 * second, stalled, Unknown},
@@ -73,9 +73,9 @@
 	},
 }
 
-// Checks the Knowledge after sequences of confirmations, failed calls and stalls.
-func TestKnowledge(t *testing.T) {
-	for name, steps := range knowledgeScenarios {
+// Checks the State after sequences of confirmations, failed calls and stalls.
+func TestState(t *testing.T) {
+	for name, steps := range stateScenarios {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
 			tracker.Start(-startupWait)
@@ -84,7 +84,7 @@
 				if step.event != nil {
 					step.event(&tracker, step.at)
 				}
-				if got := tracker.Knowledge(step.at); got != step.want {
+				if got := tracker.State(step.at); got != step.want {
 					t.Errorf("step %d, at %v: %v, want %v", i, step.at, got, step.want)
 				}
 			}
@@ -99,19 +99,19 @@
 	var confirmed, refused, silent Tracker
 	for _, tracker := range []*Tracker{&confirmed, &refused, &silent} {
 		tracker.Start(start)
-		if got := tracker.Knowledge(start); got != Unknown {
+		if got := tracker.State(start); got != Unknown {
 			t.Errorf("at the start: %v, want %v", got, Unknown)
 		}
 	}
 	confirmed.Confirmed(start + second)
-	refused.Failed(start+second, NotReached)
-	for after, want := range map[time.Duration][3]Knowledge{
+	refused.Failed(start+second, SourceUnreachable)
+	for after, want := range map[time.Duration][3]State{
 		2 * second: {Current, Unknown, Unknown},
 		5 * second: {Current, Unconfirmed, Unknown},
 		8 * second: {Unknown, Unconfirmed, Unconfirmed},
 	} {
 		at := start + after
-		got := [3]Knowledge{confirmed.Knowledge(at), refused.Knowledge(at), silent.Knowledge(at)}
+		got := [3]State{confirmed.State(at), refused.State(at), silent.State(at)}
 		if got != want {
 			t.Errorf("%v after the start: %v, want %v", after, got, want)
 		}
@@ -123,8 +123,8 @@
 	tracker := Tracker{CanCheckHealth: true}
 	tracker.Start(0)
 	tracker.Confirmed(second)
-	tracker.Failed(5*second, BrokenOff)
-	if got := tracker.Knowledge(8 * second); got != Unconfirmed {
+	tracker.Failed(5*second, IncompleteResponse)
+	if got := tracker.State(8 * second); got != Unconfirmed {
 		t.Errorf("%v, want %v", got, Unconfirmed)
 	}
 }
@@ -134,12 +134,12 @@
 	var tracker Tracker
 	tracker.Start(100 * second)
 	tracker.HandedOver(100*second, 7*second)
-	if got := tracker.Knowledge(100 * second); got != Unknown {
+	if got := tracker.State(100 * second); got != Unknown {
 		t.Errorf("a list that was already stale: %v, want %v", got, Unknown)
 	}
 	tracker.HandedOver(101*second, 2*second)
-	before := tracker.Knowledge(104 * second)
-	after := tracker.Knowledge(105 * second)
+	before := tracker.State(104 * second)
+	after := tracker.State(105 * second)
 	if before != Current || after != Unknown {
 		t.Errorf("a list confirmed 2 s before: %v, then %v; want %v, then %v", before, after, Current, Unknown)
 	}
@@ -159,26 +159,26 @@
 			case 1:
 				tracker.Stalled(now)
 			}
-			if tracker.Knowledge(now) == Current && now >= NotificationBound {
+			if tracker.State(now) == Current && now >= NotificationBound {
 				t.Fatalf("seed %d: current at %v, though the list was last confirmed at 0", seed, now)
 			}
 		}
 	}
 }
 
-// After Denied, health checks of the worker prove nothing until the list is confirmed again.
+// After Invalidate, health checks of the worker prove nothing until the list is confirmed again.
 func TestHealthEvidence(t *testing.T) {
 	var tracker Tracker
 	tracker.Confirmed(0)
-	var untouched, denied HealthEvidence
-	denied.Denied(&tracker)
-	if !untouched.Holds(&tracker) || denied.Holds(&tracker) {
-		t.Errorf("the zero value holds: %v, want true; after a denial: %v, want false",
-			untouched.Holds(&tracker), denied.Holds(&tracker))
+	var untouched, invalidated HealthEvidence
+	invalidated.Invalidate(&tracker)
+	if !untouched.Valid(&tracker) || invalidated.Valid(&tracker) {
+		t.Errorf("the zero value is valid: %v, want true; after Invalidate: %v, want false",
+			untouched.Valid(&tracker), invalidated.Valid(&tracker))
 	}
 	tracker.Confirmed(31 * second)
-	if !denied.Holds(&tracker) {
-		t.Error("does not hold, though the list was confirmed again")
+	if !invalidated.Valid(&tracker) {
+		t.Error("not valid, though the list was confirmed again")
 	}
 }
 
@@ -186,10 +186,10 @@
 	var list Tracker
 	list.Start(-time.Minute)
 	list.Confirmed(0)
-	list.Failed(3*time.Second, BrokenOff)
-	fmt.Println(list.Knowledge(5*time.Second), list.Knowledge(6*time.Second))
-	list.Failed(7*time.Second, NotReached)
-	fmt.Println(list.Knowledge(8 * time.Second))
+	list.Failed(3*time.Second, IncompleteResponse)
+	fmt.Println(list.State(5*time.Second), list.State(6*time.Second))
+	list.Failed(7*time.Second, SourceUnreachable)
+	fmt.Println(list.State(8 * time.Second))
 	// Output:
 	// current unknown
 	// unconfirmed
--- a/internal/workerclient/healthcheck.go
+++ b/internal/workerclient/healthcheck.go
@@ -78,25 +78,25 @@
 		c.release()
 		return
 	}
-	c.client.registry.HealthConfirmed(c.worker, c.request.sentAt)
-	if c.client.dispatcher.ClientGone(handle) { // the dispatcher has cancelled the attempt
+	c.client.registry.HealthCheckPassed(c.worker, c.request.sentAt)
+	if c.client.dispatcher.ClientDisconnected(handle) { // the dispatcher has cancelled the attempt
 		return
 	}
 	if reusable {
 		c.send()
 		return
 	}
-	c.moveAttempt(false)
+	c.resendAttempt(false)
 	c.close()
 }
 
 // confirmationFailed is called when the worker has not responded to the health check that precedes the attempt's
-// request. If the connection was reused, the worker may have closed it long ago, so the attempt is moved to another
+// request. If the connection was reused, the worker may have closed it long ago, so the attempt is resent on another
 // connection.
 func (c *connection) confirmationFailed() {
 	c.request.kind = attemptRequest
 	if c.reused {
-		c.moveAttempt(c.newConnectionFailed)
+		c.resendAttempt(c.newConnectionFailed)
 		return
 	}
 	c.rejectUnconfirmed()
@@ -104,6 +104,6 @@
 
 // rejectUnconfirmed ends an attempt whose worker did not respond to the preceding health check, or not with status 200.
 func (c *connection) rejectUnconfirmed() {
-	c.client.registry.HealthDenied(c.worker)
+	c.client.registry.HealthCheckFailed(c.worker)
 	c.complete(attemptResult{outcome: decision.NotSent})
 }
