--- a/decision/ceilings.go
+++ b/decision/ceilings.go
@@ -6,25 +6,26 @@
 )
 
 // Two ceilings limit what is sent. The concurrency ceiling limits the slots in flight; a token bucket limits
-// the work sent over time. Both are learned per ready worker: each request served in time raises the ceilings
-// that are more than half used or have a price, and bad outcomes cut them.
+// the work sent over time. Both are learned per ready worker. Each request served in time raises a ceiling
+// if more than half of it is used, or if the resource that it limits has a price above 0 (see prices). Bad
+// outcomes cut the ceilings.
 const (
 	initialSlotsPerWorker = 8.0  // initial value of both ceilings per worker, summed over all dispatchers
 	ceilingFloorRatio     = 0.25 // no ceiling is cut below this fraction of its initial value
-	ceilingRaiseStep      = 0.4  // slots that a served slot adds to the ceiling when no outcome is bad
-	concurrencyHeadroom   = 3.0  // slots added to the ceiling, so that a tiny ceiling leaves no worker idle
+	ceilingRaiseStep      = 0.4  // added to the ceiling per slot served in time, while badRatio is 0
+	concurrencyHeadroom   = 3.0  // slots above the learned ceiling, so that a tiny one leaves no worker idle
 	badRatioSamples       = 16   // outcomes over which badRatio is averaged
 	overloadBadRatio      = 0.25 // badRatio from which the workers count as overloaded
 )
 
-// ceilings is the state of the concurrency ceiling, and of the outcomes from which both ceilings are
-// learned. The other ceiling is the tokenBucket.
+// ceilings holds the concurrency ceiling and the statistics from which both ceilings are learned. The other
+// ceiling is in tokenBucket.
 type ceilings struct {
-	inFlight             float64 // slots of all outstanding attempts
-	inFlightAtEjected    float64 // slots of the outstanding attempts at ejected workers
-	concurrencyPerWorker float64 // learned ceiling of slots in flight per ready worker
-	badRatio             float64 // recent share of bad outcomes, 0 to 1
-	cutAt                time.Duration
+	inFlight             float64       // slots of all outstanding attempts
+	inFlightAtEjected    float64       // slots of the outstanding attempts at ejected workers
+	concurrencyPerWorker float64       // learned ceiling of slots in flight per ready worker
+	badRatio             float64       // recent share of bad outcomes, 0 to 1
+	lastCutAt            time.Duration // time of the last cut
 }
 
 // tokenBucket limits the work that is sent over time. Its rate is learned per ready worker.
@@ -76,13 +77,13 @@
 	return m.countedInFlight() <= 0 || m.countedInFlight()+request.slots <= m.concurrencyCeiling()
 }
 
-// bucketCapacity is what the token bucket holds when full: its rate over a planning horizon.
+// bucketCapacity is what the token bucket holds when full: what comes in during planningHorizon.
 func (m *Machine) bucketCapacity() float64 {
 	return m.bucket.capacity(m.readyWorkers(), m.planningHorizon)
 }
 
 // bucketIsScarce reports whether the token bucket limits what is sent. Its rate is raised and cut only then:
-// if the rate were cut while it limits nothing, prices would later reject requests without need.
+// if the rate were cut while it limits nothing, prices would later reject requests needlessly.
 func (m *Machine) bucketIsScarce() bool {
 	return m.bucket.tokens < m.bucketCapacity()/2 || m.prices.work > 0
 }
@@ -107,17 +108,17 @@
 func (m *Machine) cutCeilings(request *request, assignedAt time.Duration) {
 	c := &m.ceilings
 	request.countedAsBad = true
-	if assignedAt < c.cutAt {
+	if assignedAt < c.lastCutAt {
 		return
 	}
-	share := m.counts.eligibleShare(request.class)
-	c.badRatio += share * (1 - c.badRatio) / badRatioSamples
-	if m.now-c.cutAt <= seconds(m.latencyEstimate()) {
+	eligibleShare := m.counts.eligibleShare(request.class)
+	c.badRatio += eligibleShare * (1 - c.badRatio) / badRatioSamples
+	if m.now-c.lastCutAt <= seconds(m.latencyEstimate()) {
 		return
 	}
-	c.cutAt = m.now
+	c.lastCutAt = m.now
 	floor := ceilingFloorRatio * initialSlotsPerWorker / float64(m.settings.Peers)
-	remaining := 1 - share*c.badRatio/2
+	remaining := 1 - eligibleShare*c.badRatio/2
 	c.concurrencyPerWorker = max(c.concurrencyPerWorker*remaining, floor)
 	if m.bucketIsScarce() {
 		m.bucket.ratePerWorker = max(m.bucket.ratePerWorker*remaining, floor)
--- a/decision/event.go
+++ b/decision/event.go
@@ -16,12 +16,12 @@
 	HealthChecked                       // Worker, Outcome, Load
 	ClientDisconnected                  // Request
 	TimerFired                          // Timer
-	PeerMessage                         // ignored: dispatchers share nothing
-	ReservedElsewhere                   // Worker, Reservation: sent by the process's predecessor or successor
+	PeerMessage                         // ignored: dispatchers exchange no state with their peers
+	ReservedElsewhere                   // Worker, Reservation: of this process's predecessor or successor
 	SettingsChanged                     // Settings
-	WorkersSuspended                    // Endpoints, by Name: they get nothing until WorkersResumed
+	WorkersSuspended                    // Endpoints, by Name: they get no attempts until WorkersResumed
 	WorkersResumed                      // Endpoints, by Name
-	AttemptSent                         // Request, Attempt, Worker: see Settings.SendNotices
+	AttemptSent                         // Request, Attempt, Worker: last byte sent; see Settings.SendNotices
 )
 
 // Event is one thing that happened to a dispatcher.
@@ -35,30 +35,30 @@
 	Tenant      int    // index into Settings.TenantQuotas; any other number: no tenant
 	Slots       float64
 	Work        time.Duration // hinted run time on a standard core; 0: no hint
-	TimeLeft    time.Duration // time until the client gives up this try
+	TimeLeft    time.Duration // how long the client still waits for a response to this try
 	ClientRetry bool          // the client marked the request as a retry
-	Key         string        // identifies what the request concerns; may be empty
+	Key         string        // affinity key: equal keys prefer the same workers; may be empty
 	Outcome     AttemptOutcome
 	Answered    bool // the request has its final response
 	Load        LoadReport
 	Fraction    float64 // fraction of the work that is done, 0 to 1
-	Reservation float64 // amount taken from a worker's slow-start budget, in hinted slot-seconds
+	Reservation float64 // part of a worker's slow-start budget: slots times hinted run time, in seconds
 	Timer       uint64
 	ListKind    ListKind
 	Endpoints   []Endpoint
 
 	// Settings hold new values of TenantQuotas, OverQuotaWeight and MaxRetryAfter, and of the
 	// PriorityWeight, LateWeight, LatencyObjective and ObjectiveStretch of Classes; all other fields are
-	// ignored. Open requests keep the value and the objective that they were admitted with. Settings that
-	// New would reject, or that change the number of classes or tenants, have no effect.
+	// ignored. Requests that were admitted earlier keep their value and objective. Settings that New would
+	// reject, or that change the number of classes or tenants, have no effect.
 	Settings *Settings
 }
 
 // AttemptOutcome is how an attempt ended.
 type AttemptOutcome uint8
 
-// The outcomes. ConnectionRefused, NotSent and, unless Settings.SaturatedMayHaveRun, Saturated prove that
-// the attempt never ran.
+// ConnectionRefused, NotSent and, unless Settings.SaturatedMayHaveRun, Saturated prove that the attempt
+// never ran.
 const (
 	Completed AttemptOutcome = iota
 	Failed
@@ -80,7 +80,7 @@
 	}[o]
 }
 
-// NeverRan reports whether the outcome proves that the attempt had no effect.
+// NeverRan reports whether the outcome proves that the worker never ran the attempt.
 func (o AttemptOutcome) NeverRan(settings *Settings) bool {
 	return o.notAccepted() && !(o == Saturated && settings.SaturatedMayHaveRun)
 }
@@ -104,7 +104,7 @@
 // ListKind determines how the endpoints of a ListUpdated event are applied.
 type ListKind uint8
 
-// The kinds of lists.
+// The values of ListKind.
 const (
 	ListDelta    ListKind = iota // changed endpoints only
 	ListSnapshot                 // complete: workers that are absent are removed
@@ -112,10 +112,10 @@
 	ListFailed                   // a call failed or the subscription broke; no endpoints
 )
 
-// WorkerState is the state of a worker by the endpoint list.
+// WorkerState is the state of a worker according to the endpoint list.
 type WorkerState uint8
 
-// The states of a listed worker.
+// The values of WorkerState.
 const (
 	Running  WorkerState = iota
 	Draining             // finishes its outstanding requests and gets no new ones
@@ -127,7 +127,7 @@
 	Name      string // identity and address
 	Zone      int
 	Kind      int // worker kind
-	Cell      int // deduplication cell within the zone
+	Cell      int // group of workers within the zone; see DedupWithinCell
 	State     WorkerState
 	StartedAt time.Duration // time of the last start, on the time scale of Handle; 0: long ago
 	Weight    float64       // size; with LoadAdjustedWeights, size / (1 + requests held per core)
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Requests that other dispatchers have outstanding at a worker delay a request there as much as the
-// dispatcher's own attempts do.
+// Requests that other dispatchers have outstanding at a worker count as load, like the dispatcher's own
+// attempts.
 func TestOthersOutstandingCounts(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	rig.ceilings.concurrencyPerWorker = 100
@@ -20,17 +20,17 @@
 	}
 }
 
-// For workers that this dispatcher has not used recently, load-adjusted weights are the only source for the
-// load from other dispatchers.
+// For workers that this dispatcher has not used recently, load-adjusted weights are its only information
+// about the load from other dispatchers.
 func TestLoadAdjustedWeightsCountAsOthersLoad(t *testing.T) {
 	settings := testSettings()
 	settings.LoadAdjustedWeights = true
 	rig := newRig(t, settings, 2)
 	rig.updateList(
-		Endpoint{Name: "w0", Weight: 2}, // a third of the largest weight: it holds two requests per core
+		Endpoint{Name: "w0", Weight: 2}, // size / (1 + 2): two requests per core
 		Endpoint{Name: "w1", Weight: 6},
 	)
-	rig.expectAllAt("w1", "sent to the worker with the load of other dispatchers")
+	rig.expectAllAt("w1", "sent to the worker that other dispatchers have loaded")
 }
 
 // A reported backlog counts as load of other dispatchers.
--- a/internal/connlimit/model_test.go
+++ b/internal/connlimit/model_test.go
@@ -46,7 +46,7 @@
 	return &modelRun{t: t, config: config, limiter: limiter, model: model}
 }
 
-// Actions of a step. All values below actionClose open a connection.
+// Actions of a step. Values below actionClose open a connection, those below actionStartRequest close one.
 const (
 	actionClose         = 4
 	actionStartRequest  = 6
@@ -63,8 +63,8 @@
 		r.admit()
 		return
 	}
-	which := rapid.IntRange(0, len(r.open)-1).Draw(r.t, "which")
-	r.applyAction(action, which)
+	index := rapid.IntRange(0, len(r.open)-1).Draw(r.t, "index")
+	r.applyAction(action, index)
 }
 
 // admit compares the decisions of the Limiter and the model on a new connection.
@@ -75,7 +75,7 @@
 	want := r.model.admit(r.now, addr)
 	id, got := r.limiter.Admit(r.now, addr, Token(r.step+1))
 	if got != want {
-		r.t.Fatalf("step %d: %v at %v: %v, want %v as the model decides", r.step, addr, r.now, got, want)
+		r.t.Fatalf("step %d: %v at %v: the limiter returns %v, the model %v", r.step, addr, r.now, got, want)
 	}
 	if got != Allowed {
 		return
@@ -90,15 +90,15 @@
 	r.open = append(r.open, id)
 }
 
-// applyAction applies an action to an open connection, or changes the pressure.
-func (r *modelRun) applyAction(action, which int) {
-	id := r.open[which]
+// applyAction applies an action to the open connection with that index in r.open, or changes the pressure.
+func (r *modelRun) applyAction(action, index int) {
+	id := r.open[index]
 	conn := r.model.connections[id]
 	switch action {
-	case actionClose, actionClose + 1: // closing is chosen twice as often as the other actions
+	case actionClose, actionClose + 1: // two values, so that closing is chosen twice as often as the actions below
 		r.limiter.Closed(id)
 		delete(r.model.connections, id)
-		r.open = slices.Delete(r.open, which, which+1)
+		r.open = slices.Delete(r.open, index, index+1)
 	case actionStartRequest:
 		r.limiter.RequestStarted(r.now, id)
 		conn.stage = HalfRead
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -27,14 +27,14 @@
 		follower.waitForVersion(7, "a=ready b=ready")
 		acknowledgement := server.expectRequest(pollQuery(7))
 		if acknowledgement.Conn != first.Conn {
-			t.Error("the acknowledgement has a connection of its own")
+			t.Error("the acknowledgement was sent on a new connection")
 		}
 		acknowledgement.answer(encodeChange(7, false))
 		watch.sendLine(encodeChange(9, false, "a=draining", "c=ready"))
 		follower.waitForVersion(9, "a=draining b=ready c=ready")
-		server.expectRequest(pollQuery(9)).answer(encodeChange(10, false, "b=gone")) // has not arrived on the watch yet
+		server.expectRequest(pollQuery(9)).answer(encodeChange(10, false, "b=gone")) // before the watch delivers it
 		follower.waitForVersion(10, "a=draining c=ready")
-		watch.sendLine(encodeChange(10, false, "b=gone")) // now it has
+		watch.sendLine(encodeChange(10, false, "b=gone")) // delivered again, which changes nothing
 		watch.sendLine(encodeChange(11, false, "a=gone"))
 		follower.waitForVersion(11, "c=ready")
 		testkit.Until(t, "version 11 is acknowledged", func() bool {
@@ -42,7 +42,7 @@
 			poll.answer(encodeChange(11, false))
 			return poll.query == pollQuery(11)
 		})
-		testkit.Until(t, "its answer is read", func() bool { return follower.stats().Acknowledged >= 3 })
+		testkit.Until(t, "the response to it is read", func() bool { return follower.stats().Acknowledged >= 3 })
 		checkFollowStats(t, follower.stats())
 		follower.mu.Lock()
 		if want := []membership.Version{7, 9, 10, 11}; !slices.Equal(follower.applied, want) {
@@ -56,7 +56,7 @@
 func checkFollowStats(t *testing.T, stats Stats) {
 	t.Helper()
 	if stats.Applied != 4 || stats.Snapshots != 1 || stats.Deltas != 3 || stats.Rejected != 0 || stats.Failovers != 0 {
-		t.Errorf("want a snapshot and three deltas: %+v", stats)
+		t.Errorf("want one snapshot, three deltas, no rejection and no failover: %+v", stats)
 	}
 	if stats.BytesRead < 500 || stats.BytesWritten < 100 || stats.Version != 11 {
 		t.Errorf("want version 11, at least 500 bytes read and 100 written: %+v", stats)
@@ -75,16 +75,16 @@
 	release := follower.BlockLoop()
 	follower.Write(t, watch, text[:len(text)-8])
 	release()
-	follower.Do(func() {}) // it has been read
+	follower.Do(func() {}) // wait until the incomplete change has been read
 	if got := follower.workers(); got != "a=ready b=ready" {
-		t.Fatalf("half of a change is in force: %s", got)
+		t.Fatalf("an incomplete change has been applied: %s", got)
 	}
 	local.stop()
 	remote.serveFirstPoll(5, encodeChange(6, false, "a=gone", "b=draining"), 6)
 	follower.waitForVersion(6, "b=draining")
 	follower.waitForServer(remote)
 	if stats := follower.stats(); stats.Failovers != 1 {
-		t.Errorf("%d failovers", stats.Failovers)
+		t.Errorf("%d failovers, want 1", stats.Failovers)
 	}
 }
 
@@ -93,7 +93,7 @@
 func TestServersBehindAreSkipped(t *testing.T) {
 	old := encodeChange(3, true, "old=ready")
 	for name, serveOldVersion := range map[string]func(*testServer){
-		"a status":       func(s *testServer) { s.expectRequest(pollQuery(5)).answerUnavailable() },
+		"error status":   func(s *testServer) { s.expectRequest(pollQuery(5)).answerUnavailable() },
 		"older snapshot": func(s *testServer) { s.expectRequest(pollQuery(5)).answer(old) },
 		"older delta":    func(s *testServer) { s.expectRequest(pollQuery(5)).answerCompressed(encodeChange(4, false)) },
 		"older watch": func(s *testServer) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// orderOfPolls waits until one of two servers is polled. It returns that server, with the poll put back among its
-// requests, and the other one.
+// orderOfPolls waits until one of two servers is polled, and returns that server first and the other one last. The poll
+// is put back, so that the test can still receive it.
 func orderOfPolls(t *testing.T, one, two *testServer) (first, last *testServer) {
 	t.Helper()
 	var poll request
@@ -137,7 +137,8 @@
 	return first, last
 }
 
-// A server is restarted with an older version than it had. The version in force stays until the server has a newer one.
+// A server is restarted with an older version than it had before. The follower keeps its version until the server has a
+// newer one.
 func TestRestartedServerWithOlderVersion(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -152,13 +153,13 @@
 	poll.answer(encodeChange(2, true, "old=ready"))
 	server.expectRequest(pollQuery(8)).answer(encodeChange(3, true, "old=ready"))
 	if got := follower.workers(); follower.version() != 8 || got != "a=ready b=ready" {
-		t.Fatalf("version %d: %s", follower.version(), got)
+		t.Fatalf("version %d: %s; want 8: a=ready b=ready", follower.version(), got)
 	}
 	server.serveFirstPoll(8, encodeChange(9, false, "b=gone"), 9)
 	follower.waitForVersion(9, "a=ready")
 }
 
-// One of the two servers in the zone is behind. The version of the other one is put in force.
+// One of the two servers in the zone is behind. The version of the other one is applied.
 func TestTwoServersOneBehind(t *testing.T) {
 	one := newServer(t)
 	two := newServer(t)
@@ -178,7 +179,7 @@
 			t.Fatal("no server is polled")
 		}
 	}
-	t.Fatal("the server that is not behind is not polled")
+	t.Fatal("the server that is up to date is not polled")
 }
 
 // All servers are down at the start. The initial list is used after its timeout, and a server that comes up later is
@@ -195,7 +196,7 @@
 		return ready
 	})
 	if n := follower.countLogLines(": "); n != 1 {
-		t.Errorf("the outage has %d log lines: %q", n, follower.logLines)
+		t.Errorf("the outage has %d log lines, want 1: %q", n, follower.logLines)
 	}
 	remote.restart()
 	remote.serveFirstPoll(0, encodeChange(44, true, "k=draining"), 44) // the initial list has no settings, so a snapshot is requested
@@ -211,24 +212,24 @@
 	remoteWatch := remote.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 	follower.waitForServer(remote)
 	local.restart()
-	follower.Do(func() { follower.makeAttemptDue() })
+	follower.Do(func() { follower.retryPreferredServer() })
 	localPoll := local.expectRequest(pollQuery(5))
 	remoteWatch.sendLine(encodeChange(6, false, "b=ready"))
 	follower.waitForVersion(6, "a=ready b=ready")
-	localPoll.answer(encodeChange(5, false)) // behind the version in force by now
-	testkit.Until(t, "it is skipped", func() (none bool) {
-		follower.Do(func() { none = len(follower.registry.follower.candidates) == 0 })
-		return none
+	localPoll.answer(encodeChange(5, false)) // older than version 6, which has been applied by now
+	testkit.Until(t, "the local server is skipped", func() (noCandidates bool) {
+		follower.Do(func() { noCandidates = len(follower.registry.follower.candidates) == 0 })
+		return noCandidates
 	})
 	follower.waitForServer(remote)
-	follower.Do(func() { follower.makeAttemptDue() })
+	follower.Do(func() { follower.retryPreferredServer() })
 	local.expectRequest(pollQuery(6)).answer(encodeChange(6, false))
 	localWatch := local.expectRequest(watchQuery(6))
 	localWatch.openWatch()
 	remoteWatch.sendLine(encodeChange(7, false, "c=ready"))
 	follower.waitForVersion(7, "a=ready b=ready c=ready")
 	localWatch.sendLine(encodeChange(6, false))
-	follower.Do(func() {}) // the local server is behind again, so the one in use stays
+	follower.Do(func() {}) // the local server is behind again, so the remote one stays in use
 	follower.waitForServer(remote)
 	localWatch.sendLine(encodeChange(7, false, "c=ready"))
 	follower.waitForServer(local)
@@ -244,15 +245,15 @@
 	watch := old.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 	follower.waitForServer(old)
 	follower.Do(func() { follower.registry.Follow(followConfig(next)) })
-	call := next.expectRequest(pollQuery(5))
+	poll := next.expectRequest(pollQuery(5))
 	watch.sendLine(encodeChange(6, false, "b=ready"))
 	follower.waitForVersion(6, "a=ready b=ready")
-	call.answer(encodeChange(6, false, "b=ready"))
+	poll.answer(encodeChange(6, false, "b=ready"))
 	nextWatch := next.expectRequest(watchQuery(6))
 	nextWatch.openWatch()
 	nextWatch.sendLine("")
 	follower.waitForServer(next)
 	if _, err := watch.Read(make([]byte, 1)); err == nil {
-		t.Error("the previous watch is open")
+		t.Error("the previous watch is still open")
 	}
 }
--- a/internal/discovery/testfollower_test.go
+++ b/internal/discovery/testfollower_test.go
@@ -116,7 +116,7 @@
 // waitForServer waits until a server is in use.
 func (f *testFollower) waitForServer(server *testServer) {
 	f.t.Helper()
-	testkit.Until(f.t, server.addr+" is followed", func() bool { return f.stats().Server == server.addr })
+	testkit.Until(f.t, server.addr+" is in use", func() bool { return f.stats().Server == server.addr })
 }
 
 // countLogLines counts the log lines that contain a text.
@@ -131,8 +131,9 @@
 	return n
 }
 
-// makeAttemptDue makes the next attempt at a preferred server due.
-func (f *testFollower) makeAttemptDue() {
+// retryPreferredServer starts an attempt at a preferred server at once. It replaces the selector, which drops the delays
+// after failures.
+func (f *testFollower) retryPreferredServer() {
 	follower := f.registry.follower
 	config := follower.config
 	follower.selector = membership.NewSelector(config.Name, config.Zone, config.Servers, 1)
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -14,7 +14,8 @@
 	return entries, nil
 }
 
-// adopt updates the workers from a list and its parsed form. Workers that are not in the list stay as they are.
+// adopt adds, updates and removes workers as the list says. entries is the parsed form of the list, in the same order.
+// Workers that are not in the list stay as they are.
 func (r *Registry) adopt(list []endpoint, entries []decision.Endpoint) {
 	for i, entry := range entries {
 		worker := r.workers[entry.Name]
@@ -73,8 +74,8 @@
 	delete(r.workers, worker.Name)
 }
 
-// publish reports a list or change of the source, which has been adopted, to the dispatcher. If the first update is a
-// delta, it is published together with the initial endpoint list; a snapshot replaces that list.
+// publish reports a snapshot or delta that has been adopted to the dispatcher. If the first update is a delta, it is
+// published together with the initial endpoint list; a snapshot replaces that list.
 func (r *Registry) publish(snapshot bool, entries []decision.Endpoint) {
 	switch {
 	case snapshot:
--- a/internal/eventloop/stall.go
+++ b/internal/eventloop/stall.go
@@ -4,19 +4,19 @@
 
 const (
 	// stallThreshold is the delay of a turn above which the loop is regarded as stalled: the process was stopped, or
-	// got no processor time. The remaining time that a worker is told may be too long by at most 150 ms; the 50 ms
-	// above the threshold are for the transfer of a request.
+	// got no processor time. The remaining time that a request states to its worker may be too long by at most 150 ms:
+	// 100 ms for an undetected stall, and 50 ms for the transfer of the request.
 	stallThreshold = 100 * time.Millisecond
 
 	// longStall is the length of a stall above which OnStall is called.
 	longStall = 500 * time.Millisecond
-	// stallRecoveryTime is how long after a stall the input that is read may still have been queued during the stall.
+	// stallRecoveryTime is the time after a stall in which the loop still reads input that was queued during the stall.
 	stallRecoveryTime = 100 * time.Millisecond
 )
 
 // stall is a span in which the loop was blocked. The zero value means that there was none.
 type stall struct {
-	begin, end time.Duration // clock times; begin is the earliest possible beginning
+	begin, end time.Duration // clock times; the stall may have begun later than begin, but not earlier
 }
 
 // detectStall records a stall if the turn that begins now is late by more than the threshold, with respect to the
--- a/internal/httpfront/frontend_test.go
+++ b/internal/httpfront/frontend_test.go
@@ -25,7 +25,7 @@
 	}
 	rig := testkit.NewRig(f)
 	_, addr := newEchoFrontEnd(f, rig, ampleMemory, 200, alwaysReady)
-	acceptNamedRequests(rig)
+	acceptFormerAndOpen(rig)
 	number := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		conn, err := net.Dial("tcp", addr)
--- a/internal/httpfront/golden_test.go
+++ b/internal/httpfront/golden_test.go
@@ -31,7 +31,7 @@
 	rig := testkit.NewRig(t)
 	ready := true
 	_, addr := newEchoFrontEnd(t, rig, ampleMemory, 200, func() bool { return ready })
-	acceptNamedRequests(rig)
+	acceptFormerAndOpen(rig)
 	var text strings.Builder
 	for i, exchange := range testkit.Exchanges {
 		request := testkit.WithID(exchange.Request, fmt.Sprintf("id%06d", i))
--- a/internal/httpfront/helpers_test.go
+++ b/internal/httpfront/helpers_test.go
@@ -14,14 +14,14 @@
 	// ampleMemory is the memory limit of tests in which no request may be rejected for lack of memory.
 	ampleMemory = 64 << 20
 
-	// healthRequest is a request for /healthz.
+	// healthRequest asks the front end whether it is ready.
 	healthRequest = "GET /healthz HTTP/1.1\r\n\r\n"
 )
 
 // alwaysReady is the ready function of front ends that count as ready from the start.
 func alwaysReady() bool { return true }
 
-// newFrontEnd starts a front end on a rig whose dispatcher gives attempts to the worker client.
+// newFrontEnd starts a front end on a rig whose dispatcher passes its attempts to the worker client.
 func newFrontEnd(
 	t testing.TB, rig *testkit.Rig, worker dispatch.WorkerClient, memoryLimit, maxConnections int, ready func() bool,
 ) (frontEnd *FrontEnd, addr string) {
@@ -39,7 +39,7 @@
 	return frontEnd, addr
 }
 
-// newEchoFrontEnd starts a front end on a rig whose dispatcher gives attempts to an echo worker client.
+// newEchoFrontEnd starts a front end on a rig whose dispatcher passes its attempts to a testkit.EchoWorkerClient.
 func newEchoFrontEnd(
 	t testing.TB, rig *testkit.Rig, memoryLimit, maxConnections int, ready func() bool,
 ) (frontEnd *FrontEnd, addr string) {
@@ -48,16 +48,16 @@
 	return newFrontEnd(t, rig, worker, memoryLimit, maxConnections, ready)
 }
 
-// startEchoFrontEnd starts a rig and a front end with an echo worker client, and returns the front end's address.
+// startEchoFrontEnd starts a rig and a front end with a testkit.EchoWorkerClient. It returns the front end's address.
 func startEchoFrontEnd(t *testing.T, memoryLimit, maxConnections int) string {
 	t.Helper()
 	_, addr := newEchoFrontEnd(t, testkit.NewRig(t), memoryLimit, maxConnections, alwaysReady)
 	return addr
 }
 
-// acceptNamedRequests hands the dispatcher the two requests to whose IDs testkit.Exchanges refers: one that is
-// completed, and one that stays open.
-func acceptNamedRequests(rig *testkit.Rig) {
+// acceptFormerAndOpen gives the dispatcher the two requests that testkit.Exchanges refers to by ID: "former", which is
+// completed, and "open", which stays open.
+func acceptFormerAndOpen(rig *testkit.Rig) {
 	responses := make(testkit.Responses, 2)
 	rig.Do(func() { // both in one turn of the event loop
 		rig.Dispatcher.Accept(responses, 0, dispatch.Request{ID: "former", Body: []byte("done")})
--- a/internal/membership/acktracker.go
+++ b/internal/membership/acktracker.go
@@ -19,7 +19,7 @@
 	expiry time.Duration
 	byName map[string]*acknowledgement
 
-	// The ends of a linked list that is ordered by lastSeen.
+	// The ends of a linked list of all acknowledgements, ordered by lastSeen.
 	oldest, newest *acknowledgement
 }
 
@@ -70,15 +70,15 @@
 	Count   int
 }
 
-// Summary counts the live subscribers by version. The zero value means that
-// there are none.
+// Summary is a count of the subscribers that have not expired, by version. The
+// zero value means that there are none.
 type Summary struct {
 	Subscribers    int
 	Lowest, Newest Version
-	Cumulative     []VersionCount // an element for each version that some subscriber acknowledged last, oldest first
+	Cumulative     []VersionCount // one element for each version that is some subscriber's last, oldest first
 }
 
-// Summary counts the live subscribers by version.
+// Summary counts the subscribers that have not expired, by version.
 func (a *AckTracker) Summary(now time.Duration) Summary {
 	a.expire(now)
 	counts := map[Version]int{}
@@ -102,8 +102,8 @@
 	return summary
 }
 
-// CountAtLeast returns how many of the live subscribers have acknowledged at
-// least version, and how many there are in total.
+// CountAtLeast returns how many of the subscribers that have not expired
+// acknowledged at least version, and how many there are in total.
 func (a *AckTracker) CountAtLeast(now time.Duration, version Version) (count, total int) {
 	a.expire(now)
 	for ack := a.oldest; ack != nil; ack = ack.next {
--- a/internal/workerclient/clientdisconnect_test.go
+++ b/internal/workerclient/clientdisconnect_test.go
@@ -113,7 +113,7 @@
 // The client closes while the last byte of its request is held back.
 func TestClientDisconnectsBeforeLastByte(t *testing.T) {
 	stack := newStack(t, 1, withRetries)
-	holdLastBytes(stack.Rig, stack.client, 200*time.Millisecond)
+	holdLastBytes(stack.Rig, stack.workerClient, 200*time.Millisecond)
 	client := stack.connectClient("id000001", 0)
 	stack.workers[0].Accept().AwaitFirstByte()
 	release := stack.blockLoop()
--- a/internal/workerclient/helpers_test.go
+++ b/internal/workerclient/helpers_test.go
@@ -16,7 +16,7 @@
 	// soleWorker is the name of the worker in tests with only one.
 	soleWorker = "s"
 
-	// testWork is the expected run time that test requests state.
+	// testWork is the run time that test requests give as a hint.
 	testWork = time.Millisecond
 
 	// noReuseDelay is the reuse delay of tests in which every connection may be reused immediately.
@@ -71,7 +71,7 @@
 	return addr
 }
 
-// newRequest returns a request of a class of the rig.
+// newRequest returns a request of the class with that index.
 func newRequest(rig *testkit.Rig, class int, id string) dispatch.Request {
 	return dispatch.Request{
 		ID:     id,
@@ -114,13 +114,13 @@
 	}
 }
 
-// idleConnections returns the number of idle connections to the worker with a name.
+// idleConnections returns the number of idle connections to the named worker.
 func idleConnections(rig *testkit.Rig, client *Client, worker string) (count int) {
 	rig.Do(func() { count = len(client.idle[client.registry.Worker(worker)]) })
 	return count
 }
 
-// holdLastBytes makes the client hold back the last byte of each request for a time.
+// holdLastBytes makes the client hold back the last byte of each request for the delay, throughout the test.
 func holdLastBytes(rig *testkit.Rig, client *Client, delay time.Duration) {
 	rig.Do(func() {
 		client.holdLastByteUntil = rig.Dispatcher.Loop.Now() + time.Hour
@@ -131,8 +131,8 @@
 // transferClass is the index of the class that withDeduplicatedClass adds.
 const transferClass = testkit.Renewal + 1
 
-// withDeduplicatedClass adds a class whose workers recognize retries within a dedup window, and sets the connect
-// timeout.
+// withDeduplicatedClass adds a class whose workers discard repeats within the dedup window, allows three attempts per
+// request and sets the connect timeout.
 func withDeduplicatedClass(window, connectTimeout time.Duration) func(*decision.Settings) {
 	return func(settings *decision.Settings) {
 		settings.Classes = append(settings.Classes, decision.Class{
--- a/internal/workerclient/lastbyte_test.go
+++ b/internal/workerclient/lastbyte_test.go
@@ -91,7 +91,7 @@
 func holdLastByteFor(t *testing.T, heldFor time.Duration) (stack *testStack, responses testkit.Responses, startedAt time.Time) {
 	t.Helper()
 	stack = newStack(t, 1, withRetries)
-	holdLastBytes(stack.Rig, stack.client, 100*time.Millisecond)
+	holdLastBytes(stack.Rig, stack.workerClient, 100*time.Millisecond)
 	startedAt = time.Now()
 	request := newRequest(stack.Rig, testkit.StatusCheck, "id000001")
 	request.TimeLeft = timeLeftAtSend
--- a/internal/workerclient/stack_test.go
+++ b/internal/workerclient/stack_test.go
@@ -13,13 +13,13 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// testStack is a dispatcher with an HTTP front end and a worker client. The test acts as the clients and the workers.
+// testStack is a dispatcher with an HTTP front end and a worker client. The test plays the clients and the workers.
 type testStack struct {
 	*testkit.Rig
-	t       *testing.T
-	addr    string // address of the front end
-	client  *Client
-	workers []*testkit.Listener
+	t            *testing.T
+	addr         string // address of the front end
+	workerClient *Client
+	workers      []*testkit.Listener
 }
 
 // newStack starts a stack with a number of workers. change modifies the default settings of the rig.
@@ -32,7 +32,7 @@
 		stack.workers = append(stack.workers, worker)
 		listed = append(listed, listedWorker{Name: fmt.Sprint("s", i), Address: worker.Addr(), Health: "ready"})
 	}
-	stack.Do(func() { stack.client = newWorkerClient(t, stack.Rig, listed...) })
+	stack.Do(func() { stack.workerClient = newWorkerClient(t, stack.Rig, listed...) })
 	stack.addr = startFrontEnd(t, stack.Rig, 50)
 	return stack
 }
@@ -47,7 +47,7 @@
 	return release
 }
 
-// connectClient connects a client that sends a status check, followed by a number of other bytes.
+// connectClient connects a client that sends a status check, followed by trailingBytes bytes that are no request.
 func (s *testStack) connectClient(id string, trailingBytes int) net.Conn {
 	s.t.Helper()
 	request := "POST /status-check/k HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Weight-Hint: 1000\r\nContent-Length: 4\r\n\r\nbody"
@@ -55,7 +55,7 @@
 	return conn
 }
 
-// closeClient closes a client's connection, and waits until the kernel has processed the close at the front end's end.
+// closeClient closes a client's connection, and waits until the close has arrived at the front end's socket.
 func (s *testStack) closeClient(conn net.Conn) {
 	s.t.Helper()
 	clientAddr := conn.LocalAddr().String()
@@ -77,7 +77,7 @@
 	return sent
 }
 
-// isEstablished reports whether the kernel lists the connection between two addresses as established at the local end.
+// isEstablished reports whether the socket at localAddr is in the state ESTABLISHED according to the kernel.
 func isEstablished(t *testing.T, localAddr, remoteAddr string) bool {
 	t.Helper()
 	const (
