--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -13,7 +13,7 @@
 	startedAt    time.Duration // when it was first known to run; 0 until then
 	lastSeen     time.Duration // time of the worker's last report on it; before the first report, assignedAt
 	ended        bool
-	neverRan     bool // it has ended, and its outcome proves that it had no effect
+	neverRan     bool // it has ended, and its outcome proves that the worker never ran it
 	unsent       bool // it ended before its last byte was sent: it was held back, or the dial failed
 	unresponsive bool // its connection looks dead: it no longer counts as waiting for its start
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// removeUnstarted records that one attempt fewer waits for its start at a worker.
+// removeUnstarted subtracts an attempt from those that wait for their start at a worker.
 func (m *Machine) removeUnstarted(worker *worker) {
 	worker.unstarted = max(worker.unstarted-1, 0)
 	worker.unstartedSince = m.now
--- a/decision/simulation_test.go
+++ b/decision/simulation_test.go
@@ -16,14 +16,14 @@
 	now           time.Duration
 	listed        map[string]Endpoint // each worker as last listed, including removed ones
 	names         []string
-	stall         time.Duration // longest stall of the process whose late responses must be tolerated
+	tolerance     time.Duration // length of the latest stall; responses may be late by as much
 	requests      map[uint64]*simRequest
 	arrivalOrder  []uint64
 	nextID        uint64
 	timers        []simTimer
 	subscribed    bool
-	arrivals      []time.Duration          // times of the requests since the start
-	retries       []time.Duration          // times of the attempts beyond a request's first since the start
+	arrivals      []time.Duration          // arrival times of the requests since the last restart
+	retries       []time.Duration          // times of all attempts but each request's first, as arrivals
 	cooldownUntil map[string]time.Duration // by key
 }
 
@@ -75,7 +75,7 @@
 	settings := Settings{
 		Peers:              3,
 		Tick:               2 * time.Millisecond,
-		ListBySubscription: rapid.Bool().Draw(t, "ask"),
+		ListBySubscription: rapid.Bool().Draw(t, "list by subscription"),
 		ListPollInterval:   10 * time.Second,
 		SlowStartFloor:     0.3,
 		SlowStartDuration:  8 * time.Second,
@@ -86,7 +86,7 @@
 		Cancellation:       rapid.Bool().Draw(t, "cancel"),
 		StartNotices:       rapid.Bool().Draw(t, "start notices"),
 		ProgressInterval:   time.Second,
-		WeightByWork:       rapid.Bool().Draw(t, "by work"),
+		WeightByWork:       rapid.Bool().Draw(t, "weight by work"),
 		OverQuotaWeight:    0.2,
 		MaxRetryAfter:      2 * time.Second,
 		ConnectTimeout:     200 * time.Millisecond,
@@ -95,13 +95,13 @@
 	if rapid.Bool().Draw(t, "tenants") {
 		settings.TenantQuotas = []float64{5, 10}
 	}
-	settings.SaturatedMayHaveRun = rapid.Bool().Draw(t, "full is no proof")
+	settings.SaturatedMayHaveRun = rapid.Bool().Draw(t, "saturated may have run")
 	if rapid.Bool().Draw(t, "budget") {
 		settings.RetryBudgetWindow = 2 * time.Second
 		settings.RetryBudgetFloor = float64(rapid.IntRange(0, 2).Draw(t, "floor"))
 		settings.RetryBudgetRatio = 0.2
 	}
-	serialized := rapid.Bool().Draw(t, "order")
+	serialized := rapid.Bool().Draw(t, "serialized")
 	if serialized {
 		cooldowns := []time.Duration{0, 300 * time.Millisecond}
 		settings.KeyCooldown = rapid.SampledFrom(cooldowns).Draw(t, "cooldown")
@@ -217,11 +217,11 @@
 	return events
 }
 
-// checkAllAnswered checks that each request whose deadline has passed, with some tolerance, has its response.
+// checkAllAnswered checks that each request has its response once its deadline and the tolerance have passed.
 func (s *simulation) checkAllAnswered() {
 	for _, id := range s.arrivalOrder {
-		if request := s.requests[id]; !request.answered && s.now >= request.deadline+responseSlack+s.stall {
-			s.t.Fatalf("no answer after the deadline: %+v", request)
+		if request := s.requests[id]; !request.answered && s.now >= request.deadline+responseSlack+s.tolerance {
+			s.t.Fatalf("no response after the deadline: %+v", request)
 		}
 	}
 }
@@ -287,6 +287,7 @@
 		if rapid.IntRange(0, 5).Draw(t, "crash") == 0 {
 			s.restart()
 		}
+		// Events with unknown IDs, as a dispatcher may get after a restart.
 		s.handle(Event{Kind: ClientDisconnected, Request: 1 << 50})
 		s.handle(Event{Kind: AttemptEnded, Request: 1 << 50, Worker: "unknown"})
 		s.handle(Event{Kind: TimerFired, Timer: 1 << 50})
@@ -311,7 +312,7 @@
 		outcome = ConnectionLost
 	}
 	event := s.endAttempt(request, n, outcome)
-	if rapid.Bool().Draw(s.t, "hang up in the same batch") && !request.answered {
+	if rapid.Bool().Draw(s.t, "client disconnects") && !request.answered {
 		s.handle(Event{Kind: ClientDisconnected, Request: request.id})
 		request.answered = true
 		event.Answered = true
@@ -320,7 +321,7 @@
 	s.handle(event) // a duplicate of the event must have no effect
 }
 
-// reportProgress reports on an outstanding attempt.
+// reportProgress reports the start or the progress of an outstanding attempt. Fractions may be out of range.
 func (s *simulation) reportProgress() {
 	request, n, ok := s.drawOutstanding()
 	if !ok {
@@ -351,7 +352,7 @@
 	s.now += stall
 	if rapid.Bool().Draw(s.t, "timers first") {
 		s.now -= s.settings.Tick
-		s.stall = stall
+		s.tolerance = stall
 		s.advance(s.settings.Tick)
 	}
 	for range rapid.IntRange(1, 5).Draw(s.t, "late events") {
@@ -366,7 +367,7 @@
 	}
 }
 
-// arrive delivers a burst of requests of one class.
+// arrive delivers a burst of requests of one class. Their time left, slots and work may be out of range.
 func (s *simulation) arrive() {
 	t := s.t
 	n := rapid.IntRange(0, len(s.settings.Classes)-1).Draw(t, "class")
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -10,7 +10,7 @@
 //
 // The window allowance is the work that this dispatcher may send the worker in one window, which is
 // slowStartSafety of its share. What it does not send is saved in the balance. Budgets are in hinted
-// slot-seconds.
+// slot-seconds: the slots of a request times its hinted run time.
 const (
 	// slowStartSafety is the fraction of the share that is used as the window allowance. Within any window
 	// the dispatcher can send an allowance that it had saved, the allowance of the window itself and half an
@@ -93,8 +93,8 @@
 	if budget.balance < 0 || cost > max(budget.balance, m.maxSlowStartCost(request, allowance)) {
 		return false
 	}
-	first := worker.recentWork.at == 0
-	if (cost > allowance || first) && m.random.Float64()*cost >= budget.balance {
+	firstRequest := worker.recentWork.at == 0
+	if (cost > allowance || firstRequest) && m.random.Float64()*cost >= budget.balance {
 		budget.balance = 0
 		return false
 	}
--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -12,7 +12,7 @@
 const (
 	retryDivisor  = 20                     // 1/20 of the unreserved capacity is kept for retries
 	minRetryDelay = 200 * time.Millisecond // shortest time between the rejection and a retry
-	maxRetryDelay = 10 * time.Second       // the time between the rejection and a retry is shorter than this
+	maxRetryDelay = 10 * time.Second       // from this time after the rejection on, it is no retry
 )
 
 // decision is the decision on a new connection.
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -268,8 +268,8 @@
 	l.countOpening(connection, delta)
 }
 
-// countOpening adds delta to the counts of silent connections of a connection's address
-// and prefix.
+// countOpening adds delta to the opening counts of a connection's address and prefix,
+// which are their numbers of silent connections.
 func (l *Limiter) countOpening(connection *conn, delta int32) {
 	if connection.counted() {
 		address, prefix := l.entriesOf(connection)
--- a/internal/connlimit/scale_test.go
+++ b/internal/connlimit/scale_test.go
@@ -31,7 +31,7 @@
 // the time between two attempts.
 func TestMillionAddresses(t *testing.T) {
 	if raceEnabled {
-		t.Skip("make test runs it without the race detector, which has nothing to find in one goroutine")
+		t.Skip("make test runs it without the race detector: with a single goroutine there are no data races")
 	}
 	before := heapBytes()
 	s := newScaleTest(t)
@@ -99,8 +99,8 @@
 
 // scaleConnection is a connection that is closed at a given time.
 type scaleConnection struct {
-	id   ID
-	ends time.Duration
+	id       ID
+	closesAt time.Duration
 }
 
 func newScaleTest(t *testing.T) *scaleTest {
@@ -127,8 +127,9 @@
 }
 
 // admit opens a connection and sends a request on it. If busy is true, the request
-// stays unanswered, otherwise it is answered at once. The connection ends after span.
-func (s *scaleTest) admit(addr netip.Addr, span time.Duration, busy bool) Reason {
+// stays unanswered, otherwise it is answered at once. The connection is closed after
+// openFor.
+func (s *scaleTest) admit(addr netip.Addr, openFor time.Duration, busy bool) Reason {
 	s.attempts++
 	s.lastToken++
 	id, reason := s.limiter.Admit(s.now, addr, s.lastToken)
@@ -148,7 +149,7 @@
 	} else {
 		s.limiter.BecameIdle(s.now, id, s.random.IntN(2) == 0)
 	}
-	s.open = append(s.open, scaleConnection{id, s.now + span})
+	s.open = append(s.open, scaleConnection{id, s.now + openFor})
 	return Allowed
 }
 
@@ -171,7 +172,7 @@
 func (s *scaleTest) closeEnded() {
 	stillOpen := s.open[:0]
 	for _, connection := range s.open {
-		if connection.ends <= s.now {
+		if connection.closesAt <= s.now {
 			s.limiter.Closed(connection.id)
 		} else {
 			stillOpen = append(stillOpen, connection)
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -100,8 +100,8 @@
 		"&name=" + url.QueryEscape(s.follower.config.Name)
 }
 
-// incompleteParameters returns the parameters that a poll adds if changes up to the version it continues from are
-// missing. They acknowledge only the version before the missing changes as in force.
+// incompleteParameters returns the parameters that a poll adds if some changes up to version after are missing here. The
+// poll then acknowledges only the version before the missing changes as in force.
 func (s *subscription) incompleteParameters(after membership.Version) string {
 	completeThrough := s.follower.inForce.completeThrough
 	if completeThrough >= after {
@@ -110,8 +110,8 @@
 	return "&acked=" + strconv.FormatInt(int64(completeThrough), 10) + "&fleet=1"
 }
 
-// sendPoll polls for changes newer than a version, which also acknowledges that version, and calls onChange with the
-// answer.
+// sendPoll polls for changes newer than version after, which also acknowledges that version, and calls onChange with
+// the response.
 func (s *subscription) sendPoll(after membership.Version, onChange func(change membershipChange, err error)) {
 	poll := &s.poll
 	poll.inProgress = true
@@ -165,7 +165,8 @@
 	}
 }
 
-// detectIgnoredVersion sets ignoresVersion if the response to a poll is a snapshot of the very version polled from.
+// detectIgnoredVersion sets ignoresVersion if the response to a poll is a snapshot of the version that the poll
+// continued from, although nothing has changed since.
 func (s *subscription) detectIgnoredVersion(change membershipChange) {
 	if s.poll.after > 0 && change.snapshot && change.version == s.poll.after {
 		s.ignoresVersion = true
@@ -182,7 +183,7 @@
 	s.sendPoll(s.follower.inForce.resumeVersion(), s.onCaughtUp)
 }
 
-// onWatchProgress puts the server in use when its watch begins, if no other server is in use.
+// onWatchProgress makes this server the one in use when the response to its watch begins, if no server is in use.
 func (s *subscription) onWatchProgress() {
 	follower := s.follower
 	if follower.active == nil && s.watch.conn.response.headRead {
--- a/internal/dispatch/requestmodel_test.go
+++ b/internal/dispatch/requestmodel_test.go
@@ -12,23 +12,23 @@
 // requestModel is both the front end and the worker client of one Dispatcher. It tracks the requests and attempts, and
 // checks the calls of the Dispatcher against them.
 type requestModel struct {
-	t          *testing.T
-	now        time.Duration // the loop's clock
-	dispatcher *Dispatcher
-	requests   []*modelRequest          // by token
-	attempts   map[uint64]*modelRequest // in flight, by handle
-	order      []uint64                 // handles of the attempts in flight, in the order of Start
-	states     map[string]decision.WorkerState
+	t            *testing.T
+	now          time.Duration // the loop's clock
+	dispatcher   *Dispatcher
+	requests     []*modelRequest          // by token
+	attempts     map[uint64]*modelRequest // in flight, by handle
+	order        []uint64                 // handles of the attempts in flight, in the order of Start
+	workerStates map[string]decision.WorkerState
 }
 
 type modelRequest struct {
 	handle    uint64
 	class     int
 	responses int
-	cancelled bool
-	ran       int // attempts that have ended and may have run
+	cancelled bool // by the client, before it got a response
+	ran       int  // attempts that have ended and may have run
 	inFlight  int
-	released  int
+	released  int // calls of Request.Release
 }
 
 func (r *modelRequest) mayHaveRun() bool { return r.ran+r.inFlight > 0 }
@@ -41,10 +41,10 @@
 // newRequestModel returns a model with a Dispatcher that has two running workers.
 func newRequestModel(t *testing.T, cancellation bool) *requestModel {
 	m := &requestModel{
-		t:        t,
-		now:      time.Hour,
-		attempts: map[uint64]*modelRequest{},
-		states:   map[string]decision.WorkerState{},
+		t:            t,
+		now:          time.Hour,
+		attempts:     map[uint64]*modelRequest{},
+		workerStates: map[string]decision.WorkerState{},
 	}
 	m.dispatcher = newTestDispatcher(t, eventloop.NewVirtual(func() time.Duration { return m.now }), decision.Settings{
 		Classes: []decision.Class{
@@ -96,8 +96,8 @@
 // Start checks an attempt against the state of its worker and of its request.
 func (m *requestModel) Start(attempt Attempt) {
 	r := m.requests[attempt.Request.Body[0]]
-	if m.states[attempt.Worker] != decision.Running {
-		m.t.Fatalf("attempt started at %s, which is %v", attempt.Worker, m.states[attempt.Worker])
+	if m.workerStates[attempt.Worker] != decision.Running {
+		m.t.Fatalf("attempt started at %s, which is %v", attempt.Worker, m.workerStates[attempt.Worker])
 	}
 	if r.class == nonIdempotentClass && r.mayHaveRun() {
 		m.t.Fatalf("non-idempotent request retried: %d attempts ran, %d are in flight", r.ran, r.inFlight)
@@ -119,10 +119,11 @@
 	return r
 }
 
+// Cancel ends an attempt. It returns true, as for an attempt that was not sent, for a third of the handles.
 func (m *requestModel) Cancel(handle uint64) bool {
 	r := m.remove(handle)
 	if handle%3 == 0 {
-		return true // behaves as if the attempt had not been sent
+		return true // the attempt had not been sent, so that it never ran
 	}
 	r.ran++
 	return false
@@ -132,7 +133,7 @@
 func (m *requestModel) CheckHealth(string) {}
 func (m *requestModel) Subscribe()         {}
 
-// accept submits a request with the properties that x selects.
+// accept submits a request whose class, time left and work depend on x.
 func (m *requestModel) accept(x int) {
 	r := &modelRequest{class: x % 2}
 	token := len(m.requests)
@@ -162,7 +163,7 @@
 }
 
 func (m *requestModel) setWorker(name string, state decision.WorkerState) {
-	m.states[name] = state
+	m.workerStates[name] = state
 	m.dispatcher.UpdateWorkers(m, decision.ListDelta, []decision.Endpoint{{Name: name, State: state}})
 }
 
--- a/internal/membership/store.go
+++ b/internal/membership/store.go
@@ -55,11 +55,12 @@
 	logLength      int
 	oldest, newest *logEntry // the ends of the log, by version
 
-	// The versions from which the log can answer with a delta. The log lacks the
-	// changes of versions up to trimmed. Of the last snapshot, or exact delta, it
-	// has only the differences to the state right before, which has version
-	// exactBase, and not what changed in between and back again. It therefore
-	// cannot answer from other versions before lastSnapshot.
+	// These fields determine from which versions the log can answer with a delta.
+	// The log lacks the changes of versions up to trimmed. Of the last snapshot or
+	// exact delta, it has only the differences from the state right before, whose
+	// version is exactBase. A key that changed in between and changed back is not
+	// among them. Before lastSnapshot, the log can therefore answer only from
+	// exactBase.
 	trimmed      Version
 	lastSnapshot Version // version of the last snapshot or exact delta
 	exactBase    Version // noVersion if the state before was not exactly the origin's
@@ -223,8 +224,8 @@
 	}
 }
 
-// markSnapshotBoundary records that, of the change to version, only the differences
-// to the state before it are logged.
+// markSnapshotBoundary records that the log has the change to version only as
+// differences from the state before it.
 func (s *Store) markSnapshotBoundary(version Version) {
 	s.lastSnapshot = version
 	s.exactBase = noVersion
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -94,7 +94,7 @@
 	got := describe(change)
 	want := strings.TrimSpace(fmt.Sprint("snapshot ", version, " ", settings))
 	if got != want || s.ResumeVersion() != resume {
-		t.Errorf("state is %q up to %d, want %q up to %d", got, s.ResumeVersion(), want, resume)
+		t.Errorf("state is %q, complete up to %d; want %q, complete up to %d", got, s.ResumeVersion(), want, resume)
 	}
 }
 
@@ -155,7 +155,7 @@
 	expectSince(t, store, 5, "delta 5")
 	expectSince(t, store, 0, "snapshot 5 a=2 c=3")
 	if _, ok := store.Since(6); ok {
-		t.Error("Since answers a version that it does not have")
+		t.Error("Since answers a subscriber that is newer than the store")
 	}
 }
 
@@ -206,7 +206,7 @@
 		Change{Version: 2, Snapshot: true, Records: []Record{workerRecord("w2", HealthReady, 7)}})
 	change, _ := store.Since(1)
 	if len(change.Records) != 1 || !change.Urgent() {
-		t.Fatalf("%+v", change)
+		t.Fatalf("want one urgent record: %+v", change)
 	}
 	read, err := Parse(change.Append(nil))
 	if err != nil {
@@ -214,7 +214,7 @@
 	}
 	record := read.Records[0]
 	if record.Key != "host/w1" || !record.Deleted || !record.Urgent || !strings.Contains(string(record.Value), `"born_ms":7`) {
-		t.Errorf("%+v", record)
+		t.Errorf("want an urgent deletion of host/w1 that keeps born_ms: %+v", record)
 	}
 }
 
@@ -304,7 +304,7 @@
 	store.Reject(5)
 	mustApply(t, store, exact, Stale)
 	if store.ResumeVersion() != 3 {
-		t.Errorf("would request the changes after %d again", store.ResumeVersion())
+		t.Errorf("the resume version is %d, want 3, before the base of the exact delta", store.ResumeVersion())
 	}
 }
 
@@ -333,7 +333,7 @@
 		exact.MissingFrom = test.missing
 		mustApply(t, store, exact, Applied)
 		if store.ResumeVersion() != test.resume {
-			t.Errorf("%+v: resumes after %d", test, store.ResumeVersion())
+			t.Errorf("%+v: the resume version is %d", test, store.ResumeVersion())
 		}
 	}
 }
@@ -342,7 +342,7 @@
 // The differences between it and a snapshot are therefore not sent as an exact delta.
 func TestNoExactDeltaFromAnIncompleteState(t *testing.T) {
 	store := storeWith(t, 10, snapshot(1, "a=1"))
-	store.Reject(2) // a=2
+	store.Reject(2) // the origin's version 2 sets a=2
 	mustApply(t, store, delta(3, 2, "b=1"), Applied)
 	mustApply(t, store, snapshot(4, "a=1", "b=1"), Applied)
 	expectState(t, store, 4, 4, "a=1 b=1")
@@ -377,11 +377,11 @@
 func TestGet(t *testing.T) {
 	store := storeWith(t, 3, snapshot(1, "a=1", "b=1"), delta(2, 1, "b=null"))
 	if r, ok := store.Get("setting/a"); !ok || string(r.Value) != "1" {
-		t.Errorf("%v, %v", r, ok)
+		t.Errorf("setting/a: %v, %v; want the value 1", r, ok)
 	}
 	for _, key := range []string{"setting/b", "setting/c", "host/a"} {
 		if r, ok := store.Get(key); ok {
-			t.Errorf("%s: %v", key, r)
+			t.Errorf("%s: %v, want no record", key, r)
 		}
 	}
 }
@@ -394,11 +394,11 @@
 		if allocations := testing.AllocsPerRun(10, func() { store.Since(1) }); allocations > 1 {
 			t.Errorf("%d workers: %v allocations for one changed worker", size, allocations)
 		}
-		record := fleetSnapshot(1, 1).Records
+		records := fleetSnapshot(1, 1).Records
 		version := store.Version()
 		allocations := testing.AllocsPerRun(10, func() {
 			version++
-			store.Apply(Change{Version: version, Records: record})
+			store.Apply(Change{Version: version, Records: records})
 		})
 		if allocations > 0 {
 			t.Errorf("%d workers: %v allocations to apply one changed worker", size, allocations)
--- a/internal/membership/tree_test.go
+++ b/internal/membership/tree_test.go
@@ -31,13 +31,13 @@
 type treeNode struct {
 	name        string
 	store       *Store
-	limit       int
+	limit       int // of the log of store
 	accepts     func(Record) bool
 	servers     []versionServer // the servers that it may follow
 	server      versionServer   // the one that it follows now; nil if there is none
 	sentVersion Version         // the newest version that the server has sent it
 	saved       []byte          // the state that a relay has saved
-	restarts    bool            // whether it may restart, as relays do
+	isRelay     bool            // relays save their state and may restart
 }
 
 // versionServer is a server that a node may follow: the origin or a relay.
@@ -74,15 +74,15 @@
 		history: map[Version]map[string]string{0: {}},
 	}
 	tree := &simulatedTree{origin: origin}
-	add := func(name string, accepts func(Record) bool, restarts bool, servers ...versionServer) *treeNode {
+	add := func(name string, accepts func(Record) bool, isRelay bool, servers ...versionServer) *treeNode {
 		limit := limits.Draw(t, name+"'s log")
 		node := &treeNode{
-			name:     name,
-			store:    NewStore(limit),
-			limit:    limit,
-			accepts:  accepts,
-			servers:  servers,
-			restarts: restarts,
+			name:    name,
+			store:   NewStore(limit),
+			limit:   limit,
+			accepts: accepts,
+			servers: servers,
+			isRelay: isRelay,
 		}
 		tree.nodes = append(tree.nodes, node)
 		return node
@@ -147,8 +147,8 @@
 	return workerRecord(name, health, 0) // few values, so that workers return to earlier states
 }
 
-// originChanges publishes a change of one or two records.
-func (tr *simulatedTree) originChanges(t *rapid.T) {
+// publishRandomChange publishes a change of one or two random records at the origin.
+func (tr *simulatedTree) publishRandomChange(t *rapid.T) {
 	var records []Record
 	for range rapid.IntRange(1, 2).Draw(t, "records") {
 		records = append(records, drawRecord(t))
@@ -156,8 +156,8 @@
 	tr.origin.publish(t, lastOfEachKey(records))
 }
 
-// open makes a node follow a server from the node's version on, unless the server is behind it.
-func (n *treeNode) open(s versionServer) {
+// follow makes a node follow a server from the node's version on, unless the server is behind the node.
+func (n *treeNode) follow(s versionServer) {
 	n.server = nil
 	n.sentVersion = n.store.Version()
 	if _, ok := s.currentStore().Since(n.sentVersion); ok {
@@ -229,10 +229,10 @@
 		return
 	}
 	if node.store.Version() != change.Version {
-		t.Fatalf("%s: applied %d, but is of version %d", node.name, change.Version, node.store.Version())
+		t.Fatalf("%s: applied version %d, but has version %d", node.name, change.Version, node.store.Version())
 	}
 	tr.check(t, node, version, applyTo(before, change))
-	if version == 0 && change.Snapshot && node.restarts {
+	if version == 0 && change.Snapshot && node.isRelay {
 		tr.backfill(t, node)
 	}
 }
@@ -266,13 +266,13 @@
 		t.Fatalf("%s: went back from version %d to %d", node.name, version, node.store.Version())
 	}
 	if !maps.Equal(got, want) {
-		t.Fatalf("%s at %d has\n%v, want\n%v", node.name, node.store.Version(), got, want)
+		t.Fatalf("%s at version %d has\n%v, want\n%v", node.name, node.store.Version(), got, want)
 	}
 	if node.store.Len() != len(got) {
-		t.Fatalf("%s: Len is %d of %d", node.name, node.store.Len(), len(got))
+		t.Fatalf("%s: Len is %d, want %d", node.name, node.store.Len(), len(got))
 	}
 	if node.store.ResumeVersion() == node.store.Version() && !maps.Equal(got, tr.origin.history[node.store.Version()]) {
-		t.Fatalf("%s at %d is complete, but has\n%v, the origin had\n%v",
+		t.Fatalf("%s is complete at version %d, but has\n%v, the origin had\n%v",
 			node.name, node.store.Version(), got, tr.origin.history[node.store.Version()])
 	}
 }
@@ -281,7 +281,7 @@
 func (tr *simulatedTree) restart(t *rapid.T, n *treeNode) {
 	n.store = NewStore(n.limit)
 	n.server = nil
-	if n.saved == nil || rapid.Bool().Draw(t, "disk lost") {
+	if n.saved == nil || rapid.Bool().Draw(t, "saved state lost") {
 		return
 	}
 	c, err := Parse(n.saved)
@@ -308,11 +308,12 @@
 	tr.origin.publish(t, records)
 }
 
-// converge delivers all changes, and what is missing, to each node, as often as there are nodes.
+// converge delivers all changes, and what is missing, to each node. It repeats this once per node, so that changes pass
+// through all levels of the tree.
 func (tr *simulatedTree) converge(t *rapid.T) {
 	for range len(tr.nodes) {
 		for _, n := range tr.nodes {
-			n.open(rapid.SampledFrom(n.servers).Draw(t, "server"))
+			n.follow(rapid.SampledFrom(n.servers).Draw(t, "server"))
 			tr.sendPending(n)
 			tr.deliverAll(t)
 			if n.store.ResumeVersion() < n.store.Version() {
@@ -341,7 +342,7 @@
 	if len(tr.inFlight) == 0 {
 		t.Skip("nothing in flight")
 	}
-	at := rapid.IntRange(0, len(tr.inFlight)-1).Draw(t, "message")
+	at := rapid.IntRange(0, len(tr.inFlight)-1).Draw(t, "line")
 	line := tr.inFlight[at]
 	if !duplicate {
 		tr.inFlight = append(tr.inFlight[:at:at], tr.inFlight[at+1:]...)
@@ -353,7 +354,7 @@
 func (tr *simulatedTree) sendToOne(t *rapid.T) {
 	node := tr.drawNode(t)
 	if node.server == nil {
-		node.open(rapid.SampledFrom(node.servers).Draw(t, "server"))
+		node.follow(rapid.SampledFrom(node.servers).Draw(t, "server"))
 	}
 	tr.sendPending(node)
 }
@@ -363,7 +364,7 @@
 func (tr *simulatedTree) updateEach(t *rapid.T) {
 	for _, node := range tr.nodes {
 		if node.server == nil {
-			node.open(node.servers[0])
+			node.follow(node.servers[0])
 		}
 		tr.sendPending(node)
 		tr.deliverAll(t)
@@ -383,7 +384,7 @@
 // saveRelay saves the state of a node, if it is a relay and has one.
 func (tr *simulatedTree) saveRelay(t *rapid.T) {
 	node := tr.drawNode(t)
-	if node.restarts && node.store.Version() > 0 {
+	if node.isRelay && node.store.Version() > 0 {
 		node.saved = node.store.Snapshot().Append(nil)
 	}
 }
@@ -391,7 +392,7 @@
 // restartRelay restarts a node, if it is a relay.
 func (tr *simulatedTree) restartRelay(t *rapid.T) {
 	node := tr.drawNode(t)
-	if node.restarts {
+	if node.isRelay {
 		tr.restart(t, node)
 	}
 }
@@ -415,18 +416,18 @@
 		tree := newTree(t)
 		deliver := func(t *rapid.T) { tree.receive(t, tree.drawLine(t, false)) }
 		t.Repeat(map[string]func(*rapid.T){ // a step that is listed twice is drawn twice as often
-			"change":       tree.originChanges,
-			"flow":         tree.sendToOne,
-			"flow again":   tree.sendToOne,
-			"deliver":      deliver,
-			"deliver next": deliver,
-			"duplicate":    func(t *rapid.T) { tree.receive(t, tree.drawLine(t, true)) },
-			"lose":         func(t *rapid.T) { tree.drawLine(t, false) },
-			"cut":          func(t *rapid.T) { tree.drawNode(t).server = nil },
-			"pump":         tree.updateEach,
-			"ask":          tree.sendMissing,
-			"save":         tree.saveRelay,
-			"restart":      tree.restartRelay,
+			"change":                tree.publishRandomChange,
+			"follow and send":       tree.sendToOne,
+			"follow and send again": tree.sendToOne,
+			"deliver":               deliver,
+			"deliver next":          deliver,
+			"duplicate":             func(t *rapid.T) { tree.receive(t, tree.drawLine(t, true)) },
+			"lose":                  func(t *rapid.T) { tree.drawLine(t, false) },
+			"close connection":      func(t *rapid.T) { tree.drawNode(t).server = nil },
+			"push to each":          tree.updateEach,
+			"answer for missing":    tree.sendMissing,
+			"save":                  tree.saveRelay,
+			"restart":               tree.restartRelay,
 		})
 		tree.repair(t)
 		tree.deliverAll(t)
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -48,7 +48,7 @@
 
 	handle              uint64           // of the attempt whose outcome is still to be reported; 0 if there is none
 	attempt             dispatch.Attempt // the latest attempt
-	newConnectionFailed bool             // the attempt is resent here after a new connection had failed under it
+	newConnectionFailed bool             // the attempt was resent here, and one of its earlier connections was new and failed
 
 	dial     dialProgress
 	idle     idleTimes
@@ -93,7 +93,7 @@
 }
 
 // resendAttempt resends the attempt, which has not run, on another connection to the same worker, unless it has ended.
-// newConnectionFailed states whether a new connection, rather than only reused ones, has failed under the attempt.
+// newConnectionFailed states whether any of the connections that failed with the attempt was new rather than reused.
 func (c *connection) resendAttempt(newConnectionFailed bool) {
 	handle := c.handle
 	if handle == 0 {
@@ -143,7 +143,8 @@
 	}
 }
 
-// fail reports an outcome for the health check and the attempt, as far as theirs are still to be reported.
+// fail reports an outcome for the health check or the attempt that the connection carries, if there is one whose
+// outcome was not reported yet.
 func (c *connection) fail(outcome decision.AttemptOutcome) {
 	c.dial.abandoned = true
 	if c.request.kind == confirmation {
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -18,7 +18,7 @@
 	parser   responseParser
 	line     lineBuffer     // an incomplete line of the body, or the body of the response to a health check
 	complete bool           // the whole response has been parsed
-	result   *attemptResult // stated by the response and not reported yet; reported after all received bytes are parsed
+	result   *attemptResult // set while it has to be reported, which is done once all received bytes are parsed
 }
 
 // freeBuffers returns the buffers to their pool.
@@ -191,7 +191,8 @@
 	return nil
 }
 
-// handleLine handles a line of which end is the last part. The parts before it, if any, are buffered.
+// handleLine handles a complete line of the body. end is its last part; the parts before it, if any, are in the line
+// buffer.
 func (c *connection) handleLine(end []byte) error {
 	line := end
 	if !c.response.line.empty() {
