--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -24,7 +24,8 @@
 	backoff       time.Duration   // backoff after the latest call for the list; 0 if that call did not fail
 }
 
-// workerCounts are numbers of workers, kept up to date so that no decision has to count the fleet.
+// workerCounts are numbers of workers. They are updated with each change, so that no decision has to go
+// through the fleet.
 type workerCounts struct {
 	running   int            // workers in state Running
 	ejected   int            // running workers that are ejected
@@ -33,7 +34,7 @@
 }
 
 // handleList handles an endpoint list, or the failure of a call for one. After a failure the old list stays
-// in force.
+// in use.
 func (m *Machine) handleList(event Event) {
 	if event.ListKind == ListFailed {
 		m.retrySubscribe()
@@ -68,8 +69,8 @@
 	if !m.settings.ManyDispatchers() {
 		return 0
 	}
-	part := min(float64(m.settings.Peers-manyDispatchersThreshold)*subscribeSpreadPerPeer, maxSubscribeSpread)
-	return seconds(part * m.settings.ListPollInterval.Seconds() * m.random.Float64())
+	spread := min(float64(m.settings.Peers-manyDispatchersThreshold)*subscribeSpreadPerPeer, maxSubscribeSpread)
+	return seconds(spread * m.settings.ListPollInterval.Seconds() * m.random.Float64())
 }
 
 // applyList applies a list to the known workers. The cost of a delta is proportional to its length, not to
@@ -143,8 +144,8 @@
 	m.counts.count(worker, m.settings.Classes)
 	m.placeInLists(worker)
 	if m.settings.LoadAdjustedWeights && endpoint.Weight > 0 {
-		perCore := m.list.nominalWeight[endpoint.Kind]/endpoint.Weight - 1
-		worker.load.setOthersOutstanding(perCore, m.now)
+		requestsPerCore := m.list.nominalWeight[endpoint.Kind]/endpoint.Weight - 1
+		worker.load.setOthersOutstanding(requestsPerCore, m.now)
 	}
 }
 
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -47,7 +47,7 @@
 		t.Fatal("did not subscribe again")
 	}
 	if rig.send(0) != "w0" {
-		t.Fatal("the old list is no longer in force")
+		t.Fatal("the old list is no longer in use")
 	}
 }
 
--- a/decision/hedge_test.go
+++ b/decision/hedge_test.go
@@ -39,7 +39,7 @@
 		settings.StartsInOrder = true
 		settings.HealthChecks = true
 		settings.Peers = 1
-		settings.Cancellation = false // else an attempt that waits is hedged anyway
+		settings.Cancellation = false // with cancellation, an attempt that waits would be hedged anyway
 		rig := newRig(t, settings, 4)
 		id := rig.arrive(test.class)
 		worker := rig.workers[rig.assignedTo(id)]
@@ -53,7 +53,7 @@
 		if test.started != (checks == 0) || checks > 3 {
 			t.Errorf("%s: %d health checks", name, checks)
 		}
-		if blocked := worker.unstarted > 0; !test.started && blocked != (test.backlog > 0) {
+		if waiting := worker.unstarted > 0; !test.started && waiting != (test.backlog > 0) {
 			t.Errorf("%s: %d attempts count as waiting for their start", name, worker.unstarted)
 		}
 		rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: id})
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -186,7 +186,7 @@
 	}
 	rig.now += 3 * rig.planningHorizon
 	if !rig.usable(request, bad) {
-		t.Fatal("still ejected after three horizons")
+		t.Fatal("still ejected after three planning horizons")
 	}
 }
 
--- a/decision/simulation_test.go
+++ b/decision/simulation_test.go
@@ -16,7 +16,7 @@
 	now           time.Duration
 	listed        map[string]Endpoint // each worker as last listed, including removed ones
 	names         []string
-	tolerance     time.Duration // length of the latest stall; responses may be late by as much
+	lateBy        time.Duration // length of the latest stall; responses may be late by as much
 	requests      map[uint64]*simRequest
 	arrivalOrder  []uint64
 	nextID        uint64
@@ -220,7 +220,7 @@
 // checkAllAnswered checks that each request has its response once its deadline and the tolerance have passed.
 func (s *simulation) checkAllAnswered() {
 	for _, id := range s.arrivalOrder {
-		if request := s.requests[id]; !request.answered && s.now >= request.deadline+responseSlack+s.tolerance {
+		if request := s.requests[id]; !request.answered && s.now >= request.deadline+responseSlack+s.lateBy {
 			s.t.Fatalf("no response after the deadline: %+v", request)
 		}
 	}
@@ -352,7 +352,7 @@
 	s.now += stall
 	if rapid.Bool().Draw(s.t, "timers first") {
 		s.now -= s.settings.Tick
-		s.tolerance = stall
+		s.lateBy = stall
 		s.advance(s.settings.Tick)
 	}
 	for range rapid.IntRange(1, 5).Draw(s.t, "late events") {
--- a/decision/slowstart_fleet_test.go
+++ b/decision/slowstart_fleet_test.go
@@ -54,11 +54,11 @@
 	members  []*fleetMember
 	due      map[time.Duration][]func() // scheduled calls by their time
 	entries  []Endpoint                 // the first is the worker that joins
-	hints    bool
-	mean     float64 // mean work of a request, seconds
-	rate     float64 // requests per second
-	burst    float64 // factor by which the rate rises
-	capacity float64 // of a worker, seconds of work per second
+	hints    bool                       // requests have a hint of their work
+	mean     float64                    // mean work of a request, seconds
+	rate     float64                    // requests per second
+	burst    float64                    // factor by which the rate rises
+	capacity float64                    // of a worker, seconds of work per second
 	sent     []workSent
 	next     uint64 // ID of the latest request
 }
--- a/decision/slowstart_overload_test.go
+++ b/decision/slowstart_overload_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// Four dispatchers under the same overload learn of a started worker at the same moment. Work that warm
+// Four dispatchers under the same overload learn at the same moment that a worker has started. Work that warm
 // workers reject must not enlarge its budget, and the work rate of a fast kind must not enlarge the budget of
 // a slow kind.
 func TestWorkerInSlowStartIsNotOverloaded(t *testing.T) {
@@ -196,6 +196,7 @@
 	for i := range workers {
 		newcomers = append(newcomers, Endpoint{Name: fmt.Sprintf("new%d", i), StartedAt: start})
 	}
+	// Requests per tick, for 0.7 of the capacity of the first workers. The mean work of a request is 0.35 s.
 	perTick := 0.7 * workers * capacity * overloadTick.Seconds() / 0.35
 	due := 0.0
 	next := 0
@@ -204,11 +205,11 @@
 			group.handleAll(Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: newcomers})
 		}
 		due += perTick
-		if group.now >= start+settings.SlowStartDuration/2 {
+		if group.now >= start+settings.SlowStartDuration/2 { // the surge
 			due += 2 * perTick
 		}
 		for ; due >= 1; due-- {
-			rig := group.rigs[next*37%peers]
+			rig := group.rigs[next*37%peers] // each dispatcher in turn
 			next++
 			group.arrive(rig, time.Duration(100+rig.random.IntN(500))*time.Millisecond)
 		}
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -63,7 +63,7 @@
 // What all dispatchers together may reserve at a worker in slow start within any window stays within the
 // budget of the settings, however busy warm workers are: each dispatcher has saved at most a window
 // allowance, gets one more, and may overdraw its balance by half of one. Requests that cost more than an
-// allowance, and the first request, need a random draw, for which the rule tolerates an excess.
+// allowance, and the first request, need a random draw, so that they keep the budget on average only.
 func TestSlowStartReservationsStayWithinTheBudget(t *testing.T) {
 	if sum := 2.5 * slowStartSafety; sum > 1+1e-9 {
 		t.Errorf("a saved allowance, the window's and half of one add up to %.2f of the budget", sum)
@@ -74,7 +74,7 @@
 		pauses := []time.Duration{0, 0, 0, window / 50, window / 50, window / 10, 2 * window}
 		for range 300 {
 			run.machine.now += rapid.SampledFrom(pauses).Draw(t, "pause")
-			run.offerRequest(rapid.SampledFrom([]float64{0.05, 0.05, 0.3, 1}).Draw(t, "work, parts"))
+			run.offerRequest(rapid.SampledFrom([]float64{0.05, 0.05, 0.3, 1}).Draw(t, "work, allowances"))
 			run.checkWindow()
 		}
 		if len(run.sent) == 0 {
@@ -164,7 +164,7 @@
 // While a process is replaced, the predecessor and its successor share one budget for a worker in slow start:
 // each reports what it reserves, and the other subtracts that from its own balance.
 func TestReservationsOfBothProcessesAddUp(t *testing.T) {
-	budget := func(other float64) (sent int, reserved float64) {
+	sendBeside := func(other float64) (sent int, reserved float64) {
 		settings := testSettings()
 		settings.Peers = 1
 		rig := newRig(t, settings, 4)
@@ -190,8 +190,8 @@
 		rig.handle(rig.now, Event{Kind: ReservedElsewhere, Worker: "unknown", Reservation: 1})
 		return sent, reserved
 	}
-	alone, reserved := budget(0)
-	beside, _ := budget(reserved / 200 / 2) // the other process sends half of what one process may send alone
+	alone, reserved := sendBeside(0)
+	beside, _ := sendBeside(reserved / 200 / 2) // the other process sends half of what one may send alone
 	if alone < 10 || beside >= alone*3/4 || beside == 0 || reserved <= 0 {
 		t.Fatalf("%d sent alone, reserved %v; %d while another sends half as much", alone, reserved, beside)
 	}
@@ -199,8 +199,8 @@
 
 // If requests cost more than a window allowance, two window allowances may be saved, so that a dispatcher
 // with one request per second does not lose budget. If requests are small, only one may be saved, so that few
-// dispatchers that spend everything at once stay within the rule: a saved allowance and the allowance of the
-// window are 0.8 of what the rule allows.
+// dispatchers that spend everything at once do not overload the worker: a saved allowance and that of the
+// window are 0.8 of the budget.
 func TestSlowStartBudgetIsSavedForTwoWindowsAtMost(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 300
@@ -231,11 +231,11 @@
 		}
 	}
 	if 2*slowStartSafety > 0.8 {
-		t.Errorf("few dispatchers may send %.2f of the rule's budget in a window", 2*slowStartSafety)
+		t.Errorf("few dispatchers may send %.2f of the budget in a window, want 0.8", 2*slowStartSafety)
 	}
 }
 
-// With an OverloadWindow of 0 the rule is disabled: workers in slow start get requests without a budget.
+// With an OverloadWindow of 0 there is no slow-start budget, so that workers in slow start get requests.
 func TestSlowStartWithoutOverloadWindowIsNotBounded(t *testing.T) {
 	settings := testSettings()
 	settings.OverloadWindow = 0
@@ -244,7 +244,7 @@
 	rig := newRig(t, settings, 1)
 	rig.updateList(Endpoint{Name: "w0", StartedAt: rig.now})
 	if rig.send(0) != "w0" {
-		t.Fatal("a worker in slow start gets no requests though the rule is disabled")
+		t.Fatal("a worker in slow start gets no requests though there is no slow-start budget")
 	}
 }
 
--- a/decision/zone_test.go
+++ b/decision/zone_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Without the rule for unreachable zones, each dispatcher runs into a connect timeout at one worker of the
-// zone after the other, until the endpoint list removes them. With it, two failed connects in a row are
-// enough while workers of other zones are seen; then one request at a time is sent as a trial, to find out
-// whether the zone is reachable again.
+// If unreachable zones were not detected, each dispatcher would run into a connect timeout at one worker of
+// the zone after the other, until the endpoint list removes them. A zone counts as unreachable after two
+// failed connects in a row while workers of other zones are seen. Then one request at a time is sent there as
+// a trial, to find out whether the zone is reachable again.
 
 // zoneRig is a rig with four workers in each of three zones.
 type zoneRig struct {
@@ -44,7 +44,7 @@
 	return workers
 }
 
-// markZoneSeen records a sign of life of a worker of the zone.
+// markZoneSeen records that a worker of the zone was seen.
 func (r *zoneRig) markZoneSeen(number int) { r.markSeen(r.inZone(number)[0]) }
 
 // unreachable reports whether a zone counts as unreachable.
@@ -193,7 +193,7 @@
 		}
 		rig.now += rig.planningHorizon
 		if rig.unreachable(2) {
-			t.Fatal("no trial is due after a horizon")
+			t.Fatal("no trial is due after a planning horizon")
 		}
 		rig.markZoneSeen(0)
 		rig.startAttempt(&request{class: &rig.settings.Classes[0], slots: 1, work: 1}, rig.inZone(2)[0])
--- a/internal/connlimit/descriptorbudget.go
+++ b/internal/connlimit/descriptorbudget.go
@@ -57,8 +57,8 @@
 	if !rising {
 		return fmt.Errorf("marks: %g, %g, %g do not rise within 0 to 1", w.Low, w.High, w.Critical)
 	}
-	backWithin := w.Hysteresis > 0 && w.Hysteresis < w.Low
-	if !backWithin {
+	validHysteresis := w.Hysteresis > 0 && w.Hysteresis < w.Low
+	if !validHysteresis {
 		return fmt.Errorf("marks: back: %g is not between 0 and the lowest", w.Hysteresis)
 	}
 	return nil
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -77,8 +77,8 @@
 	r.follower = follower
 }
 
-// start begins to follow from the initial list. Servers are asked to continue from its version only if the list contains
-// the settings of that version, as the list of a predecessor does.
+// start begins to follow from the initial list. Polls continue from the version of the list only if it contains the
+// settings of that version, as the list of a predecessor does. Otherwise a snapshot is requested.
 func (f *membershipFollower) start(list *endpointList) {
 	f.inForce.version = membership.Version(list.Version)
 	if list.Settings != nil {
@@ -110,8 +110,8 @@
 	}
 }
 
-// attemptNext starts an attempt at the next server, unless an attempt in progress has the exclusive right to continue
-// for now, or maxReceiving responses are arriving. It returns how long to wait before the next call.
+// attemptNext starts an attempt at the next server, unless an attempt in progress is still exclusive (see
+// subscription.exclusiveUntil) or maxReceiving responses are arriving. It returns how long to wait before the next call.
 func (f *membershipFollower) attemptNext(now time.Duration) time.Duration {
 	var exclusive time.Duration
 	receiving := 0
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -39,11 +39,11 @@
 func TestTimeoutsFitNotificationBound(t *testing.T) {
 	for _, silence := range []time.Duration{watchCallTimeout, watchLineTimeout} {
 		if sum := silence + minBackoff + responseTimeout; sum > freshness.NotificationBound {
-			t.Errorf("%v of silence, the least backoff and an answer take %v", silence, sum)
+			t.Errorf("%v of silence, the least backoff and a response take %v", silence, sum)
 		}
 	}
 	if watchConnectTimeout+responseTimeout > watchCallTimeout+minBackoff+responseTimeout || watchConnectTimeout > watchCallTimeout {
-		t.Error("a call may take longer to connect than in all")
+		t.Error("the connect timeout of a call exceeds the timeout of the entire call")
 	}
 }
 
@@ -119,7 +119,7 @@
 			rig.Do(func() { registry.watch.checkNextCall(t) })
 		}
 		if n := reports.Load(); n != 1 {
-			t.Errorf("%d peers: %d failures reported, which set as many timers", peers, n)
+			t.Errorf("%d peers: %d failures reported, want 1, since each sets a timer", peers, n)
 		}
 		rig.Do(func() { // the dispatcher's timer may have no delay
 			registry.watch.fail(errors.New("broken"))
@@ -145,7 +145,7 @@
 	rig.Do(func() {
 		registry.ChangeAddress(next)
 		if !registry.watch.calling || registry.watch.nextCallAt != 0 {
-			t.Error("the new address is not called at once, or twice")
+			t.Error("the new address is not called at once, or a second call is scheduled")
 		}
 	})
 	testkit.Receive(t, nextCalls).Close()
@@ -155,7 +155,7 @@
 	})
 	call := testkit.Receive(t, nextCalls)
 	if call.query != "watch=1&after=41" {
-		t.Errorf("asked for %s", call.query)
+		t.Errorf("the call has the query %s", call.query)
 	}
 	rig.Do(func() { registry.Subscribe() }) // from a timer of the earlier outage; the call continues
 	call.sendLaterSnapshot()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -27,7 +27,7 @@
 	errWatchEnded = errors.New("the watch ended")
 )
 
-// watch is the discovery watch: one HTTP call at a time, whose answer is a stream of lines, each a list, a change or
+// watch is the discovery watch: one HTTP call at a time, whose response is a stream of lines, each a list, a change or
 // empty. When a call fails, the next one is scheduled within the time that the protocol allows (see reconnect.go).
 type watch struct {
 	registry *Registry
@@ -41,7 +41,7 @@
 
 	random          *rand.Rand         // spreads reconnects
 	nextCall        eventloop.Deadline // starts the next call
-	nextCallAt      time.Duration      // when that is; 0 if it is not scheduled
+	nextCallAt      time.Duration      // when the next call starts; 0 if none is scheduled
 	notBefore       time.Duration      // the earliest time of the next call, after one that failed
 	failureReported bool               // a failure was reported to the dispatcher, which has not called Subscribe since
 	outageLogged    bool               // the present outage of an agent has been logged
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -76,7 +76,7 @@
 	})
 }
 
-// startAttempt opens an attempt and hands it to a worker client. If the request needs a lease, the attempt waits for
+// startAttempt opens an attempt and passes it to a worker client. If the request needs a lease, the attempt waits for
 // the lease first.
 func (d *Dispatcher) startAttempt(request *openRequest, worker string, client WorkerClient, reservation float64) {
 	number := len(request.attempts)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,7 +1,7 @@
 // Package eventloop runs callbacks and deadlines on one goroutine, in real or in virtual time. State that only its
 // callbacks access needs no locks.
 //
-// Other goroutines hand work over with [Loop.Post]. Within the loop, a [Deadline] calls a function at a time of the
+// Other goroutines pass functions to the loop with [Loop.Post]. Within the loop, a [Deadline] calls a function at a time of the
 // loop's clock. Deadlines never fire early. They fire in the order of their times, and in the order in which they were
 // set where the times are equal. The loop also detects stalls, in which it or its process was blocked;
 // [Loop.QueuedSince] takes them into account.
--- a/internal/httpfront/drain_test.go
+++ b/internal/httpfront/drain_test.go
@@ -67,10 +67,10 @@
 	requests *int // number of requests so far, in all runs of the fuzz function
 
 	clients            [drainConnections]*drainClient // nil where no client is connected
-	opened             []net.Conn
+	opened             []net.Conn                     // all connections so far
 	draining           bool
-	closeAfterResponse bool
-	idleMayClose       bool
+	closeAfterResponse bool // responses announce that the connection closes
+	idleMayClose       bool // the front end may have closed idle connections
 }
 
 // drainClient is a client's end of a connection.
@@ -85,17 +85,17 @@
 func (m *drainModel) applyStep(step drainStep, number int) {
 	m.t.Helper()
 	client := m.clients[number]
-	between := client != nil && client.rest == ""
+	betweenRequests := client != nil && client.rest == ""
 	switch {
 	case step == openConnection && client == nil:
 		m.open(number)
-	case step == askForHealth && between:
+	case step == askForHealth && betweenRequests:
 		status := 200
 		if m.draining {
 			status = 503
 		}
 		m.exchange(number, healthRequest, status)
-	case step == sendHalfRequest && between:
+	case step == sendHalfRequest && betweenRequests:
 		m.sendHalf(client)
 	case step == sendOtherHalf && client != nil && client.rest != "":
 		rest := client.rest
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -43,7 +43,7 @@
 	c.admit(message, class)
 }
 
-// admit hands a request for a class to the dispatcher or to the durable service, or rejects it.
+// admit passes a request for a class to the dispatcher or to the durable service, or rejects it.
 func (c *clientConnection) admit(message *httpwire.Message, class int) {
 	frontEnd := c.frontEnd
 	request, err := parseRequestFields(message)
@@ -152,8 +152,8 @@
 	return time.Duration(microseconds * float64(time.Microsecond))
 }
 
-// parseSlots returns the number of slots that X-Facts states as "slots" or "needs", or 0 if it states neither. The last
-// of several wins.
+// parseSlots returns the number of slots that X-Facts states as "slots" or "needs", or 0 if it states neither. If
+// there are several, the last one counts.
 func parseSlots(facts []byte) float64 {
 	slots := 0.0
 	for fact := range bytes.SplitSeq(facts, []byte(",")) {
--- a/internal/membership/selector_test.go
+++ b/internal/membership/selector_test.go
@@ -28,7 +28,7 @@
 		selector := NewSelector(fmt.Sprintf("dispatcher-%d", i), "z5", servers, 1)
 		first, wait := selector.Next(0)
 		if first.Zone != "z5" || wait != 0 {
-			t.Fatalf("%v after %v", first, wait)
+			t.Fatalf("the first server is %v, after %v; want that of z5 at once", first, wait)
 		}
 		selector.MarkFailed(0, first.Address)
 		next, _ := selector.Next(0)
@@ -40,7 +40,7 @@
 		}
 	}
 	if len(second) != 16 {
-		t.Errorf("%d servers take over, not 16", len(second))
+		t.Errorf("%d servers take over, want 16", len(second))
 	}
 }
 
@@ -59,18 +59,18 @@
 		selector.MarkFailed(now, local.Address)
 		remote, wait := selector.Next(now)
 		if remote.Zone != "z1" || wait != 0 {
-			t.Fatalf("%v after %v", remote, wait)
+			t.Fatalf("the server after a failure is %v, after %v; want that of z1 at once", remote, wait)
 		}
 		selector.MarkActive(now, remote.Address)
 		_, wait, ok := selector.NextPreferred(now, remote.Address)
 		if !ok || wait < initialReturnDelay/2 || wait > maxReturnDelay {
-			t.Fatalf("return after %v, %v", wait, ok)
+			t.Fatalf("wait before the return to the own zone: %v, %v", wait, ok)
 		}
 		waits = append(waits, wait)
 		now += wait
 		preferred, wait, ok := selector.NextPreferred(now, remote.Address)
 		if !ok || wait != 0 || preferred != local {
-			t.Fatalf("%v after %v, %v", preferred, wait, ok)
+			t.Fatalf("the preferred server is %v, after %v, %v; want that of z0 at once", preferred, wait, ok)
 		}
 		selector.MarkAbandoned(remote.Address)
 		now += 100 * time.Millisecond
@@ -98,16 +98,16 @@
 	selector.Reset("z1", serversInZones(3, 1)[1:])
 	next, wait, ok := selector.NextPreferred(1, first.Address)
 	if !ok || wait != 0 || next.Zone != "z1" {
-		t.Errorf("%v after %v, %v", next, wait, ok)
+		t.Errorf("the preferred server is %v, after %v, %v; want that of z1 at once", next, wait, ok)
 	}
 	if _, wait, ok := selector.NextPreferred(1, first.Address); !ok || wait == 0 {
 		t.Error("the failure before the reset is lost")
 	}
 	if selector.Reset("z1", nil); len(selector.servers) > 0 {
-		t.Error("servers are left")
+		t.Error("servers are left after a reset to an empty list")
 	}
 	if _, wait := selector.Next(2); wait <= 0 {
-		t.Error("a server from an empty list")
+		t.Error("Next returns a server from an empty list")
 	}
 }
 
@@ -139,15 +139,15 @@
 		bound          = 5 * time.Second        // of the 6 s that a change may take; the rest is for the response
 	)
 	rapid.Check(t, func(t *rapid.T) {
-		servers := serversInZones(rapid.IntRange(1, 9).Draw(t, "zones"), rapid.IntRange(1, 2).Draw(t, "each"))
+		servers := serversInZones(rapid.IntRange(1, 9).Draw(t, "zones"), rapid.IntRange(1, 2).Draw(t, "servers per zone"))
 		name := rapid.StringMatching(`d-[0-9]{1,4}`).Draw(t, "name")
 		selector := NewSelector(name, "z0", servers, rapid.Uint64().Draw(t, "seed"))
 		unresponsive := map[string]bool{}
 		for _, server := range servers {
-			unresponsive[server.Address] = rapid.Bool().Draw(t, "silent")
+			unresponsive[server.Address] = rapid.Bool().Draw(t, "unresponsive")
 		}
-		reachable := servers[rapid.IntRange(0, len(servers)-1).Draw(t, "up")].Address
-		reachableFrom := time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "from"))
+		reachable := servers[rapid.IntRange(0, len(servers)-1).Draw(t, "reachable server")].Address
+		reachableFrom := time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "reachable from"))
 		var attempts []unansweredAttempt
 		for now := time.Duration(0); ; {
 			attempts = failEndedAttempts(selector, attempts, now)
@@ -158,7 +158,7 @@
 				continue
 			case server.Address == reachable && now >= reachableFrom:
 				if now > reachableFrom+bound {
-					t.Fatalf("found %v after it came up", now-reachableFrom)
+					t.Fatalf("the server was found %v after it came up", now-reachableFrom)
 				}
 				return
 			case unresponsive[server.Address]:
@@ -168,7 +168,7 @@
 			}
 			now += step
 			if now > reachableFrom+time.Minute {
-				t.Fatal("never found")
+				t.Fatal("the server was not found within a minute")
 			}
 		}
 	})
@@ -183,7 +183,7 @@
 		retryableFrom := map[string]time.Duration{}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "passes"))
+			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "time passed"))
 			server, wait := selector.Next(now)
 			if wait == 0 {
 				if attempting[server.Address] || retryableFrom[server.Address] > now {
@@ -192,7 +192,7 @@
 				}
 				attempting[server.Address] = true
 			} else if wait > maxRetryDelay {
-				t.Fatalf("waits %v", wait)
+				t.Fatalf("the wait exceeds maxRetryDelay: %v", wait)
 			}
 			for address := range attempting {
 				switch rapid.IntRange(0, 3).Draw(t, "outcome") {
--- a/internal/workerclient/sendguard_test.go
+++ b/internal/workerclient/sendguard_test.go
@@ -70,7 +70,7 @@
 	conn.ParseRequest()
 	conn.Write(internalErrorResponse)
 	retryConn := worker.Accept()
-	checkNotServed(t, "after the window", responses) // all workers recognize retries of this class, so it may also be rejected
+	checkNotServed(t, "after the window", responses) // failed, or rejected, since the workers would discard a repeat
 	rig.Do(func() { client.CloseAllIdle() })
 	text, err := retryConn.ReadRest()
 	if len(text) > 0 || err != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-// accept hands the request to the dispatcher.
+// accept submits the request to the dispatcher.
 func (d *delayedRequest) accept() {
 	responses := make(testkit.Responses, 1)
 	d.rig.Do(func() {
@@ -194,7 +194,7 @@
 func (d *delayedRequest) readSent(conn *testkit.AcceptedConn) string {
 	d.t.Helper()
 	testkit.Receive(d.t, d.ended)
-	go d.rig.Do(func() { // closes a connection that has become idle unused, since ReadRest waits for the close
+	go d.rig.Do(func() { // closes the connection if it became idle without being used: ReadRest waits for the close
 		d.rig.Dispatcher.Loop.After(time.Second, func() { d.client.CloseAllIdle() })
 	})
 	text, _ := conn.ReadRest()
