--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -69,8 +69,8 @@
 	if !m.settings.ManyDispatchers() {
 		return 0
 	}
-	spread := min(float64(m.settings.Peers-manyDispatchersThreshold)*subscribeSpreadPerPeer, maxSubscribeSpread)
-	return seconds(spread * m.settings.ListPollInterval.Seconds() * m.random.Float64())
+	part := min(float64(m.settings.Peers-manyDispatchersThreshold)*subscribeSpreadPerPeer, maxSubscribeSpread)
+	return seconds(part * m.settings.ListPollInterval.Seconds() * m.random.Float64())
 }
 
 // applyList applies a list to the known workers. The cost of a delta is proportional to its length, not to
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -35,12 +35,12 @@
 		action := findAction(rig.actions, SetTimer)
 		if findAction(rig.actions, Subscribe) != nil || action == nil ||
 			action.Delay > settings.ListPollInterval/2 {
-			t.Fatalf("failure %d: %v", i, rig.actions)
+			t.Fatalf("failure %d: no timer of at most half the poll interval: %v", i, rig.actions)
 		}
 		last = action.Delay
 	}
 	if last < settings.ListPollInterval/4 {
-		t.Fatalf("still asking every %v after eight failures", last)
+		t.Fatalf("the wait is only %v after eight failures", last)
 	}
 	rig.handle(rig.now, Event{Kind: TimerFired, Timer: subscribeTimer})
 	if findAction(rig.actions, Subscribe) == nil {
@@ -94,7 +94,7 @@
 			fleet.serveNextCall()
 		}
 		if fleet.lastServedAt > time.Hour+10*time.Second || fleet.failed > peers/2 {
-			t.Errorf("list kind %d: all served after %v, %d calls failed",
+			t.Errorf("list kind %d: the last call is served after %v, %d calls failed",
 				first, fleet.lastServedAt-time.Hour, fleet.failed)
 		}
 	}
--- a/decision/recount_test.go
+++ b/decision/recount_test.go
@@ -87,14 +87,14 @@
 
 // ejectOne ejects a worker.
 func (p *machinePair) ejectOne() {
-	i := rapid.IntRange(0, len(p.a.fleet)-1).Draw(p.t, "which")
+	i := rapid.IntRange(0, len(p.a.fleet)-1).Draw(p.t, "ejected worker")
 	for _, machine := range []*Machine{p.a, p.b} {
 		machine.setFailureScore(machine.fleet[i], 1, reasonAttemptsFail)
 		machine.actions = nil
 	}
 }
 
-// arrive delivers a request, which may be answered at once.
+// arrive delivers a request, whose attempt may be completed at once.
 func (p *machinePair) arrive(id uint64) {
 	actions := p.handle(Event{
 		Kind:     RequestArrived,
@@ -105,7 +105,7 @@
 		Key:      rapid.SampledFrom([]string{"", "a", "b"}).Draw(p.t, "key"),
 	})
 	assigned := findAction(actions, Assign)
-	if assigned == nil || !rapid.Bool().Draw(p.t, "answered") {
+	if assigned == nil || !rapid.Bool().Draw(p.t, "completed") {
 		return
 	}
 	p.handle(Event{
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -5,9 +5,10 @@
 	"math"
 )
 
-// A pick draws workers at random until two can take the request, and chooses the one with the shorter
-// expected delay (power of two choices). It draws from the dispatcher's subset first: a dispatcher that
-// spread few requests over a large fleet would have no recent report of any worker.
+// The worker for a request is picked by power of two choices: workers are drawn at random until two can take
+// the request, and the one with the shorter expected delay is chosen. Workers of the dispatcher's subset are
+// drawn first: a dispatcher that spread few requests over a large fleet would have no recent report of any
+// worker.
 const (
 	maxWarmDraws            = 32               // warm workers examined for one pick, to limit its cost
 	maxWarmingUpDraws       = 4 * maxWarmDraws // workers in slow start examined; few of them have budget
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// For any behaviour of clients, workers and discovery, each action keeps the rules, each request gets its
-// answer, and no state is held once all requests and attempts have ended.
+// For any behaviour of clients, workers and discovery, each action keeps the rules that simulation.check
+// states, each request gets its response, and no state is held once all requests and attempts have ended.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t)
@@ -19,7 +19,7 @@
 		sim.advance(6 * time.Second) // past every deadline
 		for _, request := range sim.requests {
 			if !request.answered {
-				t.Fatalf("no answer: %+v", request)
+				t.Fatalf("no response: %+v", request)
 			}
 		}
 		if n := len(sim.machine.requests) + len(sim.machine.queue.waiting); n != 0 {
@@ -43,7 +43,7 @@
 		s.checkAssign(request, action)
 	case Reject, Fail:
 		if request == nil || request.answered {
-			s.t.Fatalf("a second answer, or one for an unknown request: %+v", action)
+			s.t.Fatalf("a second response, or one for an unknown request: %+v", action)
 		}
 		if action.Delay < 0 {
 			s.t.Fatalf("negative delay: %+v", action)
@@ -72,7 +72,7 @@
 	}
 }
 
-// rejectable reports whether a repeat by the client is safe.
+// rejectable reports whether the request may be rejected: a rejected request may be repeated by the client.
 func (r *simRequest) rejectable() bool {
 	for _, attempt := range r.attempts {
 		mayRepeat := r.class.Idempotency == Idempotent ||
@@ -170,7 +170,7 @@
 		}
 		if !earlier.answered ||
 			slices.ContainsFunc(earlier.attempts, func(attempt simAttempt) bool { return !attempt.done }) {
-			s.t.Fatalf("sent out of order: %+v before %+v", request, earlier)
+			s.t.Fatalf("sent before an earlier request with its key is over: %+v, %+v", request, earlier)
 		}
 	}
 	if len(request.attempts) == 0 && s.now < s.cooldownUntil[request.key] {
--- a/internal/httpfront/frontend.go
+++ b/internal/httpfront/frontend.go
@@ -1,9 +1,10 @@
-// Package httpfront is the HTTP/1.1 front end: it accepts client connections, reads requests, hands them to the
+// Package httpfront is the HTTP/1.1 front end: it accepts client connections, reads requests, passes them to the
 // dispatcher and writes their responses.
 //
 // A FrontEnd belongs to the event loop's goroutine; none of its methods may be called from another one. It does not
 // decide to which worker a request goes or whether it is retried. It never closes a connection on which a response is
-// pending, and never writes two responses to one request. No client can keep others from being served by what it sends.
+// pending, and never writes two responses to one request. Whatever a client sends, the
+// other clients are still served.
 package httpfront
 
 import (
--- a/internal/membership/subscribers.go
+++ b/internal/membership/subscribers.go
@@ -25,7 +25,7 @@
 
 // subscriber is one watch of a relay.
 type subscriber struct {
-	version Version // that it has, including the line that is being written
+	version Version // the newest that it was sent, including the line that is being written
 	limiter *RateLimiter
 	started bool          // its first line has been sent, or is being written
 	sending bool          // a line is being written
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -52,7 +52,7 @@
 	before := string(change.Append(nil))
 	clear(line)
 	if after := string(change.Append(nil)); after != before {
-		t.Errorf("%s", after)
+		t.Errorf("after the line was overwritten, the change is %s, want %s", after, before)
 	}
 }
 
@@ -84,7 +84,7 @@
 			t.Errorf("%s\n%v, want %s", test.line, err, test.want)
 		}
 		if len(change.Records) > 0 {
-			t.Errorf("%s: has records", test.line)
+			t.Errorf("%s: records are returned with an error", test.line)
 		}
 		if isContentError := strings.Contains(test.want, "["); isContentError != (change.Version == 7) {
 			t.Errorf("%s: version %d", test.line, change.Version)
@@ -169,7 +169,7 @@
 func TestWithHealth(t *testing.T) {
 	got := withHealth(json.RawMessage(`{"host":"a","Health":"ready","health":"ready","rack":{"row":7}}`), HealthGone)
 	if string(got) != `{"health":"gone","host":"a","rack":{"row":7}}` {
-		t.Errorf("%s", got)
+		t.Errorf("the record is %s", got)
 	}
 }
 
--- a/internal/workerclient/pool_test.go
+++ b/internal/workerclient/pool_test.go
@@ -40,7 +40,7 @@
 			})
 			accepted := worker.ConnectionsAccepted()
 			if idle > test.maxIdle {
-				t.Fatalf("%d dispatchers: %d connections are idle, at most %d may be", test.peers, idle, test.maxIdle)
+				t.Fatalf("%d dispatchers: %d idle connections, want %d at most", test.peers, idle, test.maxIdle)
 			}
 			if accepted == opened && idle == test.maxIdle && open == test.maxIdle {
 				break
@@ -52,8 +52,9 @@
 	}
 }
 
-// Checks that bytes that arrive on an idle connection are not taken for the response to the next request, and that its
-// close does not end the next attempt, even if the loop handles the event and the request in the same turn.
+// Checks that bytes that arrive on an idle connection are not taken for the response to the next request, and that the
+// connection's close does not end the next attempt, even if the loop handles the bytes or the close in the same turn as
+// the request.
 func TestInputOnIdleConnectionIsNotAResponse(t *testing.T) {
 	writes := func(text string) func(*testing.T, *testkit.Rig, *testkit.AcceptedConn) {
 		return func(t *testing.T, rig *testkit.Rig, conn *testkit.AcceptedConn) { rig.Write(t, conn.Conn, text) }
@@ -66,7 +67,7 @@
 		"a reset":     func(_ *testing.T, _ *testkit.Rig, conn *testkit.AcceptedConn) { conn.Reset() },
 	} {
 		for _, requestFirst := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, the loop knows: %v", name, !requestFirst), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, received before the request: %v", name, !requestFirst), func(t *testing.T) {
 				rig := testkit.NewRig(t)
 				worker := testkit.Listen(t)
 				startSoleWorkerClient(t, rig, worker.Addr(), noReuseDelay)
--- a/internal/workerclient/request.go
+++ b/internal/workerclient/request.go
@@ -72,7 +72,7 @@
 	c.reportSent()
 }
 
-// writeToSocket hands a request to the socket, without the last byte if that is held back. It returns false if the
+// writeToSocket writes a request to the socket, without the last byte if that is held back. It returns false if the
 // connection has failed.
 func (c *connection) writeToSocket(out []byte) bool {
 	if !c.request.lastByte.held {
