--- a/decision/ceilings_test.go
+++ b/decision/ceilings_test.go
@@ -30,7 +30,7 @@
 	before = rig.ceilings.concurrencyPerWorker
 	rig.endAttempt(b, 0, Completed, 4*time.Second) // late
 	if rig.ceilings.concurrencyPerWorker >= before {
-		t.Fatal("the ceiling was not cut for a late answer")
+		t.Fatal("the ceiling was not cut for a late response")
 	}
 	rig.ceilings.badRatio = 1
 	before = rig.ceilings.concurrencyPerWorker
@@ -74,7 +74,7 @@
 		}
 		rig.sweepAt(request.objective - seconds(request.work))
 		if cut := rig.ceilings.concurrencyPerWorker < initialCeiling; cut == started {
-			t.Fatalf("started %v, cut %v", started, cut)
+			t.Fatalf("started %v, ceilings cut %v", started, cut)
 		}
 		before := rig.ceilings.badRatio
 		rig.endAttempt(id, 0, Completed, 2*time.Second)
@@ -98,7 +98,7 @@
 }
 
 // A token bucket that limits nothing keeps its rate. If its rate were cut then, prices would later reject
-// requests without need.
+// requests needlessly.
 func TestBucketThatDoesNotBindIsNotCut(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	id := rig.arrive(0)
@@ -120,7 +120,7 @@
 	}
 }
 
-// Late answers to requests that were sent before a cut may arrive long after it. They say nothing about the
+// Late responses to requests that were sent before a cut may arrive long after it. They say nothing about the
 // ceiling after the cut and must not cut it to the floor.
 func TestAnswersSentBeforeACutDoNotCutAgain(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
@@ -136,7 +136,7 @@
 	}
 	last := rig.ceilings.concurrencyPerWorker
 	if after >= initialCeiling || last != after {
-		t.Fatalf("ceiling %v after the first late answer, %v after the others", after, last)
+		t.Fatalf("ceiling %v after the first late response, %v after the others", after, last)
 	}
 }
 
@@ -157,7 +157,7 @@
 	all := cut(0)
 	one := cut(1)
 	if one <= 0 || one > all/9 {
-		t.Fatalf("failures at one of ten workers cut %v, those at any %v", one, all)
+		t.Fatalf("failures of a class for one of ten workers cut %v, those of a class for all %v", one, all)
 	}
 }
 
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -11,10 +11,10 @@
 	rig.endAttempt(id, 0, Failed, time.Millisecond)
 	if findAction(rig.actions, Fail) == nil || findAction(rig.actions, Assign) != nil ||
 		findAction(rig.actions, Reject) != nil {
-		t.Fatalf("actions %v", rig.actions)
+		t.Fatalf("want the request to fail: %v", rig.actions)
 	}
 	id = rig.arrive(1)
-	rig.endAttempt(id, 0, ConnectionRefused, time.Millisecond) // proof that it never ran
+	rig.endAttempt(id, 0, ConnectionRefused, time.Millisecond) // proves that it never ran
 	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("not sent again though it never ran")
 	}
@@ -69,11 +69,11 @@
 				t.Fatalf("scope %d: still waiting after the dedup window", scope)
 			}
 			if findAction(rig.actions, Assign) != nil {
-				t.Fatalf("scope %d: retried after its window", scope)
+				t.Fatalf("scope %d: retried after its dedup window", scope)
 			}
 		}
 		if rig.now < sent+1400*time.Millisecond {
-			t.Errorf("scope %d: given up after %v, with the window still open", scope, rig.now-sent)
+			t.Errorf("scope %d: answered after %v, before the end of the window", scope, rig.now-sent)
 		}
 	}
 }
@@ -92,10 +92,10 @@
 			t.Fatalf("scope %d: not answered when its last attempt ended: %v", scope, rig.actions)
 		}
 		if findAction(rig.actions, Assign) != nil {
-			t.Fatalf("scope %d: retried after its window", scope)
+			t.Fatalf("scope %d: retried after its dedup window", scope)
 		}
 		if rig.now < sent+1400*time.Millisecond {
-			t.Errorf("scope %d: given up after %v, with the window still open", scope, rig.now-sent)
+			t.Errorf("scope %d: answered after %v, before the end of the window", scope, rig.now-sent)
 		}
 	}
 }
--- a/decision/rig_test.go
+++ b/decision/rig_test.go
@@ -23,10 +23,10 @@
 	return r.actions
 }
 
-// arrive delivers a request of the class with a hint of one second, and returns its id.
+// arrive delivers a request of the class with a hint of one second of work, and returns its ID.
 func (r *rig) arrive(class int) uint64 { return r.arriveWithKey(class, "") }
 
-// arriveWithKey delivers such a request with a key.
+// arriveWithKey is like arrive, but the request has a key.
 func (r *rig) arriveWithKey(class int, key string) uint64 {
 	id := r.next
 	r.next++
--- a/decision/slowstart_largefleet_test.go
+++ b/decision/slowstart_largefleet_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A pick must draw a bounded number of workers in slow start, however many there are, and successive picks
-// must draw all of them in turn.
+// Picking a worker for a request must draw a bounded number of workers in slow start, however many there are,
+// and successive picks must draw all of them in turn.
 func TestDrawsInSlowStartAreBoundedAndFair(t *testing.T) {
 	machine, _ := newLargeFleet(t, 21000, 1)
 	drawn := map[*worker]int{}
@@ -129,21 +129,21 @@
 	const workers = 21000
 	machine, _ := newLargeFleet(t, workers, 10)
 	machine.planningHorizon = 1000 * time.Hour // so that recentWork does not decay meanwhile
-	take := func(seconds float64) (share float64) {
+	setRecentWork := func(seconds float64) (rate float64) {
 		for _, worker := range machine.fleet {
 			worker.recentWork = decayingValue{seconds, machine.now}
 		}
 		return seconds / machine.planningHorizon.Seconds()
 	}
-	first := take(100)
+	first := setRecentWork(100)
 	if got := machine.warmWorkRate(0); !near(got, first) {
-		t.Fatalf("at first %v, want %v", got, first)
+		t.Fatalf("the work rate is %v at first, want %v", got, first)
 	}
-	second := take(300)
+	second := setRecentWork(300)
 	sweeps := 0
 	for ; !near(machine.warmWorkRate(0), second); sweeps++ {
 		if sweeps > 2*workers/scanWorkersPerSweep+2 {
-			t.Fatalf("%v after %d sweeps, want %v", machine.warmWorkRate(0), sweeps, second)
+			t.Fatalf("the work rate is %v after %d sweeps, want %v", machine.warmWorkRate(0), sweeps, second)
 		}
 		if at := machine.workRates.scan.next; at%scanWorkersPerSweep != 0 || at > workers {
 			t.Fatalf("%d workers were scanned after %d sweeps", at, sweeps)
--- a/decision/sweep_test.go
+++ b/decision/sweep_test.go
@@ -13,11 +13,11 @@
 	for name, test := range map[string]struct {
 		class                 int
 		badRatio              float64
-		highFrom              int // sweeps after which badRatio is so high
+		highFrom              int // sweep from which badRatio is in effect; 0 before
 		started, wantRejected bool
 	}{
 		"overloaded":                 {0, 0.4, 0, false, true},
-		"calm":                       {0, 0.1, 0, false, false},
+		"not overloaded":             {0, 0.1, 0, false, false},
 		"overloaded once it is late": {0, 0.4, 16, false, true},
 		"started":                    {0, 0.4, 0, true, false},
 		"not idempotent":             {1, 0.4, 0, false, false},
@@ -69,7 +69,7 @@
 	action := findAction(rig.actions, Reject)
 	if action == nil || rig.now >= objective ||
 		action.Delay <= 0 || action.Delay > rig.settings.MaxRetryAfter {
-		t.Fatalf("at %v of %v: %v", rig.now, objective, rig.actions)
+		t.Fatalf("at %v, with the objective %v: %v", rig.now, objective, rig.actions)
 	}
 }
 
@@ -82,7 +82,7 @@
 	rig.arrive(0)
 	waits := rig.requests[rig.arrive(0)]
 	if !waits.queued || rig.prices.work+rig.prices.slot > 0 {
-		t.Fatal("the third request does not wait, or prices are not zero")
+		t.Fatal("the third request does not wait, or a price is not zero")
 	}
 	rig.sweepAt(waits.objective - seconds(waits.work))
 	if !waits.ended || findAction(rig.actions, Reject) == nil {
@@ -105,7 +105,7 @@
 		}
 	}
 	if action := findAction(rig.actions, Reject); action.Request != id || action.Delay <= 0 {
-		t.Fatalf("rejection %+v", action)
+		t.Fatalf("a rejection of another request, or without a delay: %+v", action)
 	}
 }
 
--- a/internal/discovery/applychange_test.go
+++ b/internal/discovery/applychange_test.go
@@ -11,7 +11,7 @@
 )
 
 // A change of which any part is invalid is rejected as a whole, with one log line that names the field. The previous
-// state stays in force, and the next valid change is applied.
+// state is kept, and the next valid change is applied.
 func TestInvalidChangeIsRejectedAsAWhole(t *testing.T) {
 	good := `{"host":"a","dial":"127.0.0.1:9","health":"draining"}`
 	for field, object := range map[string]string{
@@ -29,7 +29,7 @@
 			follower.Do(func() { follower.registry.applySettings = acceptOneSetting(nil) })
 			watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 			watch.sendLine(`{"seq":6,"whole":false,"hosts":[` + object + `]}`)
-			testkit.Until(t, "it is rejected", func() bool { return follower.stats().Rejected == 1 })
+			testkit.Until(t, "the change is rejected", func() bool { return follower.stats().Rejected == 1 })
 			if got := follower.workers(); follower.version() != 5 || got != "a=ready" {
 				t.Errorf("version %d: %s", follower.version(), got)
 			}
@@ -37,13 +37,13 @@
 			follower.waitForVersion(7, "a=ready c=ready")
 			follower.waitForServer(server)
 			if n := follower.countLogLines("rejected: "); n != 1 || follower.countLogLines(field) != 1 {
-				t.Errorf("%d lines, %d name the field: %q", n, follower.countLogLines(field), follower.logLines)
+				t.Errorf("%d lines on rejections, %d name the field, want 1 of each: %q", n, follower.countLogLines(field), follower.logLines)
 			}
 		})
 	}
 }
 
-// The settings of a change are put in force at the dispatcher. If one of them cannot change while the program runs, the
+// The settings of a change are applied to the dispatcher. If one of them cannot change while the program runs, the
 // whole change is rejected.
 func TestSettingsReachTheDispatcher(t *testing.T) {
 	server := newServer(t)
@@ -53,10 +53,10 @@
 	follower.waitForVersion(6, "a=ready")
 	watch.sendLine(`{"seq":7,"whole":false,"hosts":[{"host":"a","health":"gone"}],"settings":[` +
 		`{"key":"over_share_worth","value":0.5},{"key":"limits.max_attempts","value":9}]}`)
-	testkit.Until(t, "it is rejected", func() bool { return follower.stats().Rejected == 1 })
+	testkit.Until(t, "the change is rejected", func() bool { return follower.stats().Rejected == 1 })
 	follower.Do(func() {
 		if weight := follower.Dispatcher.Settings.OverQuotaWeight; weight != 0.25 {
-			t.Errorf("the weight is %v", weight)
+			t.Errorf("the weight is %v, want 0.25", weight)
 		}
 	})
 	if got := follower.workers(); follower.version() != 6 || got != "a=ready" || follower.countLogLines("limits.max_attempts") != 1 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// The settings and endpoints of one change are put in force together: any other turn of the event loop sees both or
+// The settings and endpoints of one change are applied together: any other turn of the event loop sees both or
 // neither.
 func TestSettingsAndEndpointsApplyTogether(t *testing.T) {
 	server := newServer(t)
@@ -88,7 +88,7 @@
 		io.WriteString(watch, text[i:i+1])
 		follower.Do(check)
 	}
-	testkit.Until(t, "it is in force", func() bool {
+	testkit.Until(t, "the change is applied", func() bool {
 		follower.Do(check)
 		return seen
 	})
@@ -103,7 +103,7 @@
 	})
 }
 
-// A drain is in force in the turn of the event loop in which its bytes are read, so that an attempt that starts right
+// A drain takes effect in the turn of the event loop in which its bytes are read, so that an attempt that starts right
 // afterwards is not sent to the draining worker.
 func TestDrainAppliesInSameLoopTurn(t *testing.T) {
 	server := newServer(t)
@@ -117,7 +117,7 @@
 		follower.Do(func() {
 			read = follower.registry.stats.BytesRead > before
 			if state := follower.registry.workers["a"].State; read && state != decision.Draining {
-				t.Errorf("the next turn sees %v", state)
+				t.Errorf("the drain was read, but the next turn sees the state %v", state)
 			}
 		})
 		return read
@@ -132,12 +132,12 @@
 	server.expectRequest(pollQuery(5)).answer(encodeChange(6, false, "b=draining")) // the watch is still at 5
 	follower.waitForVersion(6, "a=ready b=draining")
 	exact := strings.Replace(encodeChange(8, false, "a=draining"), `"whole":false`, `"whole":false,"exact":true`, 1)
-	watch.sendLine(exact) // b has changed back meanwhile, which a delta from version 5 does not contain
+	watch.sendLine(exact) // b was changed and changed back after version 5, which the exact delta does not contain
 	again := server.expectRequest(pollQuery(6))
 	if follower.version() != 6 || follower.workers() != "a=ready b=draining" {
 		t.Fatalf("version %d: %s", follower.version(), follower.workers())
 	}
-	testkit.Until(t, "the snapshot is in force", func() bool {
+	testkit.Until(t, "the snapshot is applied", func() bool {
 		again.answer(encodeChange(8, true, "a=draining", "b=ready"))
 		select {
 		case again = <-server.requests: // the earlier one may have been an acknowledgement that was sent before the watch ended
@@ -157,7 +157,7 @@
 	follower.waitForVersion(8, "a=draining b=ready")
 	follower.Do(func() {
 		if f := &follower.registry.follower.inForce; f.completeThrough != 8 {
-			t.Errorf("complete through %d", f.completeThrough)
+			t.Errorf("the state is complete through %d, want 8", f.completeThrough)
 		}
 	})
 }
--- a/internal/discovery/testfollower_test.go
+++ b/internal/discovery/testfollower_test.go
@@ -90,7 +90,7 @@
 	return strings.Join(list, " ")
 }
 
-// version returns the version in force.
+// version returns the version that was applied last.
 func (f *testFollower) version() (version membership.Version) {
 	f.Do(func() { version = f.registry.follower.inForce.version })
 	return version
@@ -102,10 +102,10 @@
 	return stats
 }
 
-// waitForVersion waits until a version is in force, and checks the workers listed then.
+// waitForVersion waits until a version has been applied, and checks the workers listed then.
 func (f *testFollower) waitForVersion(version membership.Version, workers string) {
 	f.t.Helper()
-	testkit.Until(f.t, fmt.Sprintf("version %d is in force", version), func() bool { return f.version() >= version })
+	testkit.Until(f.t, fmt.Sprintf("version %d is applied", version), func() bool { return f.version() >= version })
 	gotWorkers := f.workers()
 	gotVersion := f.version()
 	if gotVersion != version || gotWorkers != workers {
--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -18,7 +18,7 @@
 	peer      netip.Addr         // the client's address, by which the input is queued for fair reading
 	timer     eventloop.Deadline // the idle timeout, or the timeout of a request that has begun to arrive
 
-	awaitsProxyHeader  bool // it comes from a trusted proxy, whose PROXY header has not been read yet
+	awaitsProxyHeader  bool // the peer is a trusted proxy, whose PROXY header has not been read yet
 	hasSent            bool // at least one byte has been received
 	proven             bool // a worker has served at least one of its requests
 	closeAfterResponse bool // it is closed after the next response
@@ -85,8 +85,8 @@
 	}
 }
 
-// ClientDisconnected reports whether the client of a request has closed its connection, even if the event loop has not handled
-// the close event yet. It implements dispatch.ClientWatcher.
+// ClientDisconnected reports whether the client of a request has closed its connection, even if the event loop has not
+// handled the close event yet. It implements dispatch.ClientWatcher.
 func (f *FrontEnd) ClientDisconnected(token uint64) bool {
 	c := f.connections.Get(token)
 	return c == nil || c.conn.PeerClosed()
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -24,8 +24,8 @@
 
 	// idleTimeout is how long a new connection, or a proven one, may be idle.
 	idleTimeout = 5 * time.Minute
-	// unprovenIdleTimeout is how long a connection may be idle that has sent requests of which no worker has served
-	// any.
+	// unprovenIdleTimeout is how long a connection may be idle if it has sent requests, but no worker has served any
+	// of them.
 	unprovenIdleTimeout = 5 * time.Second
 
 	// floodCheckInterval is the time between two checks whether a client sends more than fits into its buffers.
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -52,7 +52,7 @@
 	before := string(change.Append(nil))
 	clear(line)
 	if after := string(change.Append(nil)); after != before {
-		t.Errorf("after the line was overwritten, the change is %s, want %s", after, before)
+		t.Errorf("the change was altered when the line was overwritten: %s", after)
 	}
 }
 
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -91,7 +91,7 @@
 		request, _ := workerConn.ServeRequest()
 		got, sent := request.Header["Idempotency-Key"]
 		if sent != (key != "") || sent && got[0] != key {
-			t.Errorf("%q was passed on as %q", key, got)
+			t.Errorf("the idempotency key %q was passed on as %q", key, got)
 		}
 		checkStatus(t, clientReader, 200)
 	}
@@ -129,7 +129,7 @@
 		repeat string // sent after start, again and again
 		want   dispatch.Outcome
 	}{
-		{"lines behind the result", endlessTrail, testkit.Chunk("more\n"), dispatch.Served},
+		{"lines after the result", endlessTrail, testkit.Chunk("more\n"), dispatch.Served},
 		{"a line", testkit.WatchHead, testkit.Chunk(strings.Repeat("x", 1000)), dispatch.Failed},
 		{"empty lines", testkit.WatchHead, testkit.Chunk("\n"), dispatch.Failed},
 		{"a head", testkit.StatusLineOK, "X-More: more\r\n", dispatch.Failed},
