--- a/decision/event.go
+++ b/decision/event.go
@@ -37,7 +37,7 @@
 	Work        time.Duration // hinted run time on a standard core; 0: no hint
 	TimeLeft    time.Duration // how long the client still waits for a response to this try
 	ClientRetry bool          // the client marked the request as a retry
-	Key         string        // affinity key: equal keys prefer the same workers; may be empty
+	Key         string        // for cache affinity and for the order of Serialized classes; may be empty
 	Outcome     AttemptOutcome
 	Answered    bool // the request has its final response
 	Load        LoadReport
--- a/decision/slowstart_draw_test.go
+++ b/decision/slowstart_draw_test.go
@@ -7,13 +7,14 @@
 )
 
 // After most of the fleet was replaced, most workers are in slow start, and few of them have budget for a
-// request. A pick must draw all of these, while the number of warm workers drawn stays bounded.
+// request. To pick a worker, all of those in slow start must be drawn, while the number of warm workers drawn
+// stays bounded.
 func TestAllWorkersInSlowStartAreDrawn(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 300
 	for seed := range uint64(10) {
 		rig := newSeededRig(t, settings, 4*maxWarmDraws, seed)
-		for _, worker := range rig.fleet[1:] { // the first stays warm: budgets are derived from its work
+		for _, worker := range rig.fleet[1:] { // the first stays warm: budgets derive from its work
 			worker.StartedAt = rig.now
 			worker.budget = slowStartBudget{balance: -1, updatedAt: rig.now}
 			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
@@ -52,7 +53,7 @@
 			}
 		}
 		if moved > maxWarmDraws {
-			t.Fatalf("%d warm workers beyond maxWarmDraws were moved by a pick without success", moved)
+			t.Fatalf("%d warm workers beyond maxWarmDraws were moved though none could be picked", moved)
 		}
 	}
 }
@@ -146,6 +147,6 @@
 		worker.budget.balance -= request.cost
 	}
 	if sent < 4 {
-		t.Fatalf("%d requests were sent", sent)
+		t.Fatalf("%d requests were sent, want 4 at least", sent)
 	}
 }
--- a/internal/connlimit/config.go
+++ b/internal/connlimit/config.go
@@ -70,7 +70,7 @@
 	TrustedProxies  []netip.Prefix // proxies whose PROXY headers are accepted
 	Learn           LearnConfig
 
-	Addresses, Prefixes int    // sizes of the tables; defaults 16384 and 4096, always more than Capacity
+	Addresses, Prefixes int    // numbers of addresses and prefixes remembered; defaults 16384 and 4096, always more than Capacity
 	Seed                uint64 // seed of the hash tables; must be secret, so that clients cannot provoke collisions
 	Anonymous           bool   // connections are only added by Adopt, and no addresses are remembered
 
--- a/internal/httpfront/frontend_test.go
+++ b/internal/httpfront/frontend_test.go
@@ -50,7 +50,7 @@
 			return
 		}
 		if rest, _ := io.ReadAll(reader); len(rest) > 0 {
-			t.Fatalf("after the last response: %q", rest)
+			t.Fatalf("bytes after the last response: %q", rest)
 		}
 	})
 }
@@ -101,7 +101,7 @@
 		t.Errorf("the ID of a completed request: status %d, want 409", status)
 	}
 	if forwarded := len(frontEnd.worker.Started); forwarded != 0 {
-		t.Errorf("%d more attempts", forwarded)
+		t.Errorf("%d rejected requests were forwarded", forwarded)
 	}
 }
 
--- a/internal/membership/subscribers_test.go
+++ b/internal/membership/subscribers_test.go
@@ -10,7 +10,7 @@
 
 const millisecond = time.Millisecond
 
-// newTestSubscribers returns an empty set with an interval of 50 ms, or 20 ms for urgent changes.
+// newTestSubscribers returns an empty set with a batch interval of 50 ms, or 20 ms for urgent changes.
 func newTestSubscribers() *Subscribers {
 	return NewSubscribers(BatchLimits{Interval: 50 * millisecond, UrgentInterval: 20 * millisecond})
 }
@@ -38,7 +38,7 @@
 	subscribers.Add(2, 7, &exhausted) // has the newest version, so that its first line is empty
 	subscribers.Add(3, 6, &exhausted) // its first line is a delta, which waits for the limiter
 	if due := dueSubscribers(subscribers, 0); !slices.Equal(due, []SubscriberID{1, 2}) {
-		t.Errorf("due: %v", due)
+		t.Errorf("due: %v, want 1 and 2", due)
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 	sendLine(subscribers, 50*millisecond, 1, 5, 10)
 	if _, _, waiting := subscribers.Due(time.Hour); waiting {
-		t.Error("something is due without a change")
+		t.Error("a line is due without a change")
 	}
 }
 
@@ -72,16 +72,16 @@
 	sendLine(subscribers, 0, 1, 1, 10_000)
 	subscribers.Changed(2, false)
 	if due := dueSubscribers(subscribers, time.Second); len(due) != 0 {
-		t.Error("sent beyond an exhausted budget")
+		t.Error("a delta is due though the rate limit is exhausted")
 	}
 	subscribers.Changed(3, true)
 	if due := dueSubscribers(subscribers, time.Second); len(due) != 1 {
-		t.Error("an urgent change waits for the budget")
+		t.Error("an urgent change waits for the rate limit")
 	}
 	sendLine(subscribers, time.Second, 1, 3, 100)
 	subscribers.Changed(4, true)
 	if wait, pending := subscribers.Wait(time.Second, 1); !pending || wait != 20*millisecond {
-		t.Errorf("the next urgent one: wait %v, pending %v", wait, pending)
+		t.Errorf("the next urgent change: wait %v, pending %v; want 20ms, true", wait, pending)
 	}
 	sendLine(subscribers, 2*time.Second, 1, 4, 100)
 	subscribers.Changed(5, false)
@@ -98,7 +98,7 @@
 	subscribers.Sending(1, 1)
 	subscribers.Changed(2, true)
 	if due := dueSubscribers(subscribers, time.Hour); len(due) != 0 {
-		t.Error("a second line at once")
+		t.Error("a second line is due while one is being written")
 	}
 	subscribers.Sent(time.Hour, 1, 10)
 	if wait, pending := subscribers.Wait(time.Hour, 1); !pending || wait != 20*millisecond {
@@ -152,7 +152,7 @@
 		for range steps {
 			if rapid.Bool().Draw(t, "change") {
 				version++
-				changeIsUrgent := rapid.IntRange(0, 9).Draw(t, "drain") == 0
+				changeIsUrgent := rapid.IntRange(0, 9).Draw(t, "urgent") == 0
 				anyUrgent = anyUrgent || changeIsUrgent
 				subscribers.Changed(version, changeIsUrgent)
 			}
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// fail reports an outcome for the health check or the attempt that the connection carries, if there is one whose
-// outcome was not reported yet.
+// fail reports an outcome for the health check and for the attempt that the connection carries, as far as theirs were
+// not reported yet.
 func (c *connection) fail(outcome decision.AttemptOutcome) {
 	c.dial.abandoned = true
 	if c.request.kind == confirmation {
