--- a/internal/httpfront/frontend_test.go
+++ b/internal/httpfront/frontend_test.go
@@ -25,7 +25,7 @@
 	}
 	rig := testkit.NewRig(f)
 	_, addr := newEchoFrontEnd(f, rig, ampleMemory, 200, alwaysReady)
-	acceptNamedRequests(rig)
+	acceptFormerAndOpen(rig)
 	number := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		conn, err := net.Dial("tcp", addr)
@@ -50,7 +50,7 @@
 			return
 		}
 		if rest, _ := io.ReadAll(reader); len(rest) > 0 {
-			t.Fatalf("after the last response: %q", rest)
+			t.Fatalf("bytes after the last response: %q", rest)
 		}
 	})
 }
@@ -101,7 +101,7 @@
 		t.Errorf("the ID of a completed request: status %d, want 409", status)
 	}
 	if forwarded := len(frontEnd.worker.Started); forwarded != 0 {
-		t.Errorf("%d more attempts", forwarded)
+		t.Errorf("%d rejected requests were forwarded", forwarded)
 	}
 }
 
