--- a/internal/jobs/explorer_test.go
+++ b/internal/jobs/explorer_test.go
@@ -11,8 +11,8 @@
 
 // These tests explore all interleavings of a small system up to a number of steps (model checking). The system has two
 // workers, two non-idempotent jobs, a store that confirms writes late, messages that are lost or late, leases that
-// expire, and crashes that keep or lose the writes that had not been confirmed. A state that was already visited with
-// at least as many steps left is not explored again.
+// expire, and crashes. In a crash, either all writes that had not been confirmed are kept or all are lost. A state is
+// not explored again if it was already visited with at least as many steps left.
 
 // messageKind is the kind of a message between the machine and a worker.
 type messageKind string
@@ -32,7 +32,7 @@
 	fence  uint64
 }
 
-// answer returns a message of another kind about the same lease.
+// answer returns a message of the given kind about the same lease and worker.
 func (m message) answer(kind messageKind) message {
 	m.kind = kind
 	return m
@@ -40,35 +40,35 @@
 
 // system is a machine with its store, its network and its workers.
 type system struct {
-	machine       *Machine
-	guarantees    [2]Guarantee // by worker
-	disk          map[string]Job
-	writes        []Job // handed to the store and not confirmed
-	network       []message
-	held          [2]map[string]uint64 // by worker: the jobs that it may run and has not run yet, with their fences
-	runs          map[string]int       // by job
-	ranUnrecorded map[string]bool      // last run by a worker that does not deduplicate, so that no worker knows of it
-	acknowledged  map[string]bool      // by job: its producer was told that it is accepted
-	now           time.Duration
-	crashesLeft   int
-	expiriesLeft  int
-	lossesLeft    int
-	pushedJobs    []string
+	machine         *Machine
+	guarantees      [2]Guarantee // by worker
+	disk            map[string]Job
+	writes          []Job // handed to the store and not confirmed
+	network         []message
+	held            [2]map[string]uint64 // by worker: the jobs that it may run and has not run yet, with their fences
+	runs            map[string]int       // by job
+	ranWithoutDedup map[string]bool      // by job: its last run was on a worker that does not deduplicate
+	acknowledged    map[string]bool      // by job: its producer has been told that the job is accepted
+	now             time.Duration
+	crashesLeft     int
+	expiriesLeft    int
+	lossesLeft      int
+	pushedJobs      []string
 }
 
 func newSystem(config Config, guarantees [2]Guarantee) *system {
 	return &system{
-		machine:       New(config),
-		guarantees:    guarantees,
-		disk:          map[string]Job{},
-		held:          [2]map[string]uint64{{}, {}},
-		runs:          map[string]int{},
-		ranUnrecorded: map[string]bool{},
-		acknowledged:  map[string]bool{},
-		crashesLeft:   1,
-		expiriesLeft:  2,
-		lossesLeft:    1,
-		pushedJobs:    []string{"a", "b"},
+		machine:         New(config),
+		guarantees:      guarantees,
+		disk:            map[string]Job{},
+		held:            [2]map[string]uint64{{}, {}},
+		runs:            map[string]int{},
+		ranWithoutDedup: map[string]bool{},
+		acknowledged:    map[string]bool{},
+		crashesLeft:     1,
+		expiriesLeft:    2,
+		lossesLeft:      1,
+		pushedJobs:      []string{"a", "b"},
 	}
 }
 
@@ -78,7 +78,7 @@
 	clone.disk = maps.Clone(s.disk)
 	clone.runs = maps.Clone(s.runs)
 	clone.acknowledged = maps.Clone(s.acknowledged)
-	clone.ranUnrecorded = maps.Clone(s.ranUnrecorded)
+	clone.ranWithoutDedup = maps.Clone(s.ranWithoutDedup)
 	clone.writes = slices.Clone(s.writes)
 	clone.network = slices.Clone(s.network)
 	for worker := range clone.held {
@@ -87,7 +87,7 @@
 	return &clone
 }
 
-// cloneMachine copies a machine without the order of its jobs, which the explorer does not use.
+// cloneMachine copies a machine except inOrder, the order of its jobs, which the explorer does not use.
 func cloneMachine(m *Machine) *Machine {
 	clone := *m
 	clone.jobs = map[string]*jobEntry{}
@@ -109,8 +109,8 @@
 
 func sortedIDs(m *Machine) []string { return slices.Sorted(maps.Keys(m.jobs)) }
 
-// key returns a text that is the same for equal states.
-func (s *system) key() string {
+// stateKey returns a text that is equal for equal states of the system.
+func (s *system) stateKey() string {
 	var key strings.Builder
 	fmt.Fprint(&key, s.now, s.crashesLeft, s.expiriesLeft, s.lossesLeft, s.machine.lastFence)
 	for _, id := range sortedIDs(s.machine) {
@@ -123,8 +123,9 @@
 	return key.String()
 }
 
-// carryOut carries out effects.
-func (s *system) carryOut(effects []Effect) {
+// applyEffects puts writes into the queue of the store and messages to workers into the network, and notes accepted
+// jobs.
+func (s *system) applyEffects(effects []Effect) {
 	for _, effect := range effects {
 		worker := 0
 		if effect.Job.Worker == "w1" {
@@ -157,14 +158,14 @@
 	case startMessage:
 		s.receiveStart(received)
 	case ackMessage:
-		s.carryOut(s.machine.Ack(s.now, received.id, received.fence, nil))
+		s.applyEffects(s.machine.Ack(s.now, received.id, received.fence, nil))
 	}
 }
 
 // receiveStart delivers a worker's request to start a job. A machine that ignores fences grants it to any worker.
 func (s *system) receiveStart(request message) {
 	effects, err := s.machine.Start(s.now, request.id, request.fence)
-	s.carryOut(effects)
+	s.applyEffects(effects)
 	if err != nil || !s.machine.config.ignoreFences {
 		return
 	}
@@ -172,17 +173,17 @@
 		s.network = append(s.network, request.answer(grantMessage))
 		return
 	}
-	for i := range s.network { // without fences the grant goes to the worker that asked
+	for i := range s.network { // without fences the grant goes to the worker that asked, even if another worker holds the lease
 		if s.network[i].kind == grantMessage && s.network[i].id == request.id {
 			s.network[i].worker = request.worker
 		}
 	}
 }
 
-// step is one event that may happen next.
+// step is an event that can happen next; it changes the system.
 type step func(*system)
 
-// steps returns all events that may happen next.
+// steps returns all events that can happen next.
 func (s *system) steps() (steps []step) {
 	steps = append(steps, s.pushSteps()...)
 	if len(s.writes) > 0 {
@@ -215,7 +216,7 @@
 		_, known := s.machine.Get(id)
 		if !known && !s.acknowledged[id] {
 			steps = append(steps, func(s *system) {
-				s.carryOut(s.machine.Push(s.now, Job{ID: id, NonIdempotent: true}, 0))
+				s.applyEffects(s.machine.Push(s.now, Job{ID: id, NonIdempotent: true}, 0))
 			})
 		}
 	}
@@ -242,20 +243,20 @@
 	job := s.writes[0]
 	s.writes = s.writes[1:]
 	s.disk[job.ID] = job
-	s.carryOut(s.machine.Stored(s.now, job.ID, job.Version))
+	s.applyEffects(s.machine.Stored(s.now, job.ID, job.Version))
 }
 
 func (s *system) assign(id string, worker int) {
-	s.carryOut(s.machine.Assign(s.now, id, fmt.Sprint("w", worker), s.guarantees[worker]))
+	s.applyEffects(s.machine.Assign(s.now, id, fmt.Sprint("w", worker), s.guarantees[worker]))
 }
 
 func (s *system) run(worker int, id string) {
 	fence := s.held[worker][id]
 	delete(s.held[worker], id)
 	deduplicates := s.guarantees[worker] == Deduplicates
-	if !deduplicates || s.runs[id] == 0 || s.ranUnrecorded[id] { // otherwise the worker knows that the job has run
+	if !deduplicates || s.runs[id] == 0 || s.ranWithoutDedup[id] { // otherwise the last run is known to all workers that deduplicate
 		s.runs[id]++
-		s.ranUnrecorded[id] = !deduplicates
+		s.ranWithoutDedup[id] = !deduplicates
 	}
 	s.network = append(s.network, message{ackMessage, worker, id, fence})
 }
@@ -263,7 +264,7 @@
 func (s *system) expireLeases() {
 	s.expiriesLeft--
 	s.now += s.machine.config.LeaseDuration + s.machine.config.RecoveryGrace + 1
-	s.carryOut(s.machine.Tick(s.now))
+	s.applyEffects(s.machine.Tick(s.now))
 }
 
 func (s *system) crash(writesSurvive bool) {
@@ -307,12 +308,13 @@
 	return ""
 }
 
-// explore tries all interleavings of up to depth steps. It returns the number of visited states and the first violation.
+// explore tries all interleavings of up to depth steps. It returns the number of visited states and the first
+// violation.
 func explore(start *system, depth int) (visited int, violation string) {
 	stepsLeftByState := map[string]int{}
 	var walk func(s *system, stepsLeft int) string
 	walk = func(s *system, stepsLeft int) string {
-		key := s.key()
+		key := s.stateKey()
 		if before, ok := stepsLeftByState[key]; ok && before >= stepsLeft {
 			return ""
 		}
@@ -363,7 +365,7 @@
 	delivered.pushedJobs = []string{"a"}
 	delivered.expiriesLeft = 1
 	delivered.lossesLeft = 0
-	delivered.carryOut(delivered.machine.Push(0, Job{ID: "a", NonIdempotent: true}, 0))
+	delivered.applyEffects(delivered.machine.Push(0, Job{ID: "a", NonIdempotent: true}, 0))
 	delivered.confirmWrite()
 	delivered.assign("a", 0)
 	delivered.confirmWrite()
@@ -373,8 +375,9 @@
 	return delivered
 }
 
-// Starts from one delivered job and explores more steps than TestExplore, so that a late request to start can meet the
-// job's next lease. A machine that ignores fences must be found to run the job twice.
+// Explores from a state in which one job is delivered, to a greater depth than TestExplore, so that a late request to
+// start can arrive during the job's next lease. For a machine that ignores fences, the exploration must find that the
+// job runs twice.
 func TestExploreDelivered(t *testing.T) {
 	for _, test := range []struct {
 		guarantees   [2]Guarantee
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -34,7 +34,7 @@
 // Guarantee is what a worker guarantees about non-idempotent jobs. The number is stored and must not change.
 type Guarantee uint8
 
-// The guarantees.
+// The guarantees that a worker may give.
 const (
 	NoGuarantee  Guarantee = iota
 	HonorsFences           // the worker asks before it starts a job, and starts it only when granted
--- a/internal/jobs/machine_test.go
+++ b/internal/jobs/machine_test.go
@@ -7,71 +7,71 @@
 	"time"
 )
 
-// A non-idempotent job whose lease expires is in doubt, and a late ack proves that it ran.
+// A non-idempotent job is in doubt after its lease has expired. A late ack of its worker proves that it ran.
 func TestNonIdempotentJobWhoseLeaseExpires(t *testing.T) {
-	s := newScript(t)
+	s := newEffectChecker(t)
 	m := s.machine
-	s.effects("push", m.Push(0, Job{ID: "r", NonIdempotent: true}, 0), "store r accepted")
-	s.effects("pushed again before it is stored", m.Push(0, Job{ID: "r", NonIdempotent: true}, 0), "")
-	s.effects("stored: both are answered", m.Stored(0, "r", 1), "answer r accepted; answer r accepted")
-	s.effects("assign", m.Assign(0, "r", "w0", NoGuarantee), "store r leased")
-	s.effects("its lease is stored", m.Stored(0, "r", 2), "deliver r leased")
-	s.effects("nothing is due", m.Tick(9*time.Second), "")
+	s.expectEffects("push", m.Push(0, Job{ID: "r", NonIdempotent: true}, 0), "store r accepted")
+	s.expectEffects("pushed again before it is stored", m.Push(0, Job{ID: "r", NonIdempotent: true}, 0), "")
+	s.expectEffects("stored: both are answered", m.Stored(0, "r", 1), "answer r accepted; answer r accepted")
+	s.expectEffects("assign", m.Assign(0, "r", "w0", NoGuarantee), "store r leased")
+	s.expectEffects("its lease is stored", m.Stored(0, "r", 2), "deliver r leased")
+	s.expectEffects("nothing is due", m.Tick(9*time.Second), "")
 	m.Heartbeat(9*time.Second, "w0")
-	s.effects("renewed", m.Tick(15*time.Second), "")
-	s.effects("the lease expires, and the job may have run", m.Tick(20*time.Second),
+	s.expectEffects("the heartbeat has renewed the lease", m.Tick(15*time.Second), "")
+	s.expectEffects("the lease expires, and the job may have run", m.Tick(20*time.Second),
 		"expired r leased; store r in doubt the lease of worker w0 ran out and the job may have run")
-	s.effects("a late ack is the proof that it ran", m.Ack(21*time.Second, "r", 1, nil), "store r done")
-	s.effects("and is answered once it is stored", m.Stored(21*time.Second, "r", 4), "reply r done")
-	s.effects("a repeated ack", m.Ack(22*time.Second, "r", 1, nil), "reply r done")
+	s.expectEffects("a late ack proves that it ran", m.Ack(21*time.Second, "r", 1, nil), "store r done")
+	s.expectEffects("the ack is answered once the job is stored", m.Stored(21*time.Second, "r", 4), "reply r done")
+	s.expectEffects("a repeated ack", m.Ack(22*time.Second, "r", 1, nil), "reply r done")
 }
 
 // An idempotent job whose lease expires runs again, and the first worker's ack is rejected.
 func TestIdempotentJobWhoseLeaseExpires(t *testing.T) {
-	s := newScript(t)
+	s := newEffectChecker(t)
 	m := s.machine
 	m.Push(0, Job{ID: "c"}, 0)
 	m.Stored(0, "c", 1)
-	first := s.leaseStored(0, "c", "w1")
-	s.effects("the lease expires", m.Tick(30*time.Second), "expired c leased; store c waiting the lease ran out")
+	first := s.leaseAndStore(0, "c", "w1")
+	s.expectEffects("the lease expires", m.Tick(30*time.Second), "expired c leased; store c waiting the lease ran out")
 	m.Tick(32 * time.Second)
-	s.equal("after the backoff", s.state("c"), "ready")
-	second := s.leaseStored(32*time.Second, "c", "w0")
-	s.effects("the first worker's ack is void", m.Ack(33*time.Second, "c", first, nil), "reply c leased the lease is void")
-	s.effects("the second worker fails", m.Fail(33*time.Second, "c", second, "no card", true), "store c dead no card")
+	s.expectEqual("after the backoff", s.stateName("c"), "ready")
+	second := s.leaseAndStore(32*time.Second, "c", "w0")
+	s.expectEffects("the first worker's ack is void", m.Ack(33*time.Second, "c", first, nil), "reply c leased the lease is void")
+	s.expectEffects("the second worker fails", m.Fail(33*time.Second, "c", second, "no card", true), "store c dead no card")
 }
 
 // A lease that cannot be stored is released, and a push that cannot be stored is rejected.
 func TestStoreFails(t *testing.T) {
-	s := newScript(t)
+	s := newEffectChecker(t)
 	m := s.machine
 	m.Push(0, Job{ID: "n", NonIdempotent: true}, 0)
 	m.Stored(0, "n", 1)
 	m.Assign(40*time.Second, "n", "w0", NoGuarantee)
-	s.effects("its lease cannot be stored", m.StoreFailed("n", 2, errDiskFull), "")
-	s.equal("and is released", s.state("n"), "ready")
-	fence := s.leaseStored(41*time.Second, "n", "w0")
-	s.equal("the fence of the failed lease is not assigned again", fmt.Sprint(fence), "2")
-	s.effects("never started, as its worker reports", m.Fail(42*time.Second, "n", fence, "full", false), "store n ready")
-	s.effects("a push", m.Push(0, Job{ID: "x"}, 0), "store x accepted")
-	s.effects("that cannot be stored", m.StoreFailed("x", 1, errDiskFull), "answer x accepted not kept: disk full")
+	s.expectEffects("its lease cannot be stored", m.StoreFailed("n", 2, errDiskFull), "")
+	s.expectEqual("the lease is released", s.stateName("n"), "ready")
+	fence := s.leaseAndStore(41*time.Second, "n", "w0")
+	s.expectEqual("the fence of the failed lease is not assigned again", fmt.Sprint(fence), "2")
+	s.expectEffects("its worker reports that it was not started", m.Fail(42*time.Second, "n", fence, "full", false), "store n ready")
+	s.expectEffects("a push", m.Push(0, Job{ID: "x"}, 0), "store x accepted")
+	s.expectEffects("the push cannot be stored", m.StoreFailed("x", 1, errDiskFull), "answer x accepted not kept: disk full")
 }
 
-// A job that is to run later is ready at its time.
+// A job that is scheduled for a later time becomes ready at that time.
 func TestScheduledJob(t *testing.T) {
-	s := newScript(t)
+	s := newEffectChecker(t)
 	m := s.machine
-	s.effects("later", m.Push(50*time.Second, Job{ID: "l"}, 60*time.Second), "store l accepted")
-	s.effects("stored", m.Stored(50*time.Second, "l", 1), "answer l accepted")
-	s.equal("before its time", s.state("l"), "scheduled")
+	s.expectEffects("push for a later time", m.Push(50*time.Second, Job{ID: "l"}, 60*time.Second), "store l accepted")
+	s.expectEffects("stored", m.Stored(50*time.Second, "l", 1), "answer l accepted")
+	s.expectEqual("before its time", s.stateName("l"), "scheduled")
 	m.Tick(60 * time.Second)
-	s.equal("due", s.state("l"), "ready")
+	s.expectEqual("due", s.stateName("l"), "ready")
 }
 
-// After a crash a leased job waits for its worker during the grace time; then it is in doubt until an operator
-// resolves it.
+// A leased non-idempotent job that is recovered after a crash stays leased for the grace time, so that its worker can
+// report it. After that it is in doubt until an operator resolves it.
 func TestRecoveredLeaseExpires(t *testing.T) {
-	s := newScript(t)
+	s := newEffectChecker(t)
 	s.machine = New(Config{LeaseDuration: 10 * time.Second, RecoveryGrace: 30 * time.Second})
 	m := s.machine
 	m.Recover(62*time.Second, []Job{
@@ -79,33 +79,33 @@
 		{ID: "c", State: Dead, Version: 5, Fence: 3, Worker: "w0", DueAt: 24 * time.Hour, Sequence: 2},
 		{ID: "l", State: Leased, NonIdempotent: true, Version: 2, Fence: 6, Worker: "w0", DueAt: 71 * time.Second, Attempts: 1, Sequence: 3},
 	})
-	s.equal("done stays done", s.state("r"), "done")
-	s.equal("dead stays dead", s.state("c"), "dead")
-	s.equal("leased stays leased", s.state("l"), "leased")
-	s.effects("in the grace time", m.Tick(90*time.Second), "")
-	s.effects("after it", m.Tick(93*time.Second),
+	s.expectEqual("done stays done", s.stateName("r"), "done")
+	s.expectEqual("dead stays dead", s.stateName("c"), "dead")
+	s.expectEqual("leased stays leased", s.stateName("l"), "leased")
+	s.expectEffects("in the grace time", m.Tick(90*time.Second), "")
+	s.expectEffects("after the grace time", m.Tick(93*time.Second),
 		"expired l leased; store l in doubt the lease of worker w0 ran out and the job may have run")
 	if _, err := m.Resolve(94*time.Second, "l", true, ""); err == nil {
 		t.Error("resolved without a reason")
 	}
 	effects, err := m.Resolve(94*time.Second, "l", false, "nothing was charged")
-	s.effects("resolved", effects, "store l ready settled: nothing was charged")
-	s.equal("the error of that", fmt.Sprint(err), "<nil>")
+	s.expectEffects("resolved", effects, "store l ready settled: nothing was charged")
+	s.expectEqual("the error of Resolve", fmt.Sprint(err), "<nil>")
 }
 
-// A machine that recovers the jobs of another one has them in the same states.
+// Jobs that are done, dead or leased have the same state in a machine that recovers them.
 func TestRecoverPreservesStates(t *testing.T) {
-	s := newScript(t)
+	s := newEffectChecker(t)
 	m := s.machine
 	for _, id := range []string{"done", "dead", "leased"} {
 		m.Push(0, Job{ID: id, NonIdempotent: true}, 0)
 		m.Stored(0, id, 1)
-		fence := s.leaseStored(time.Second, id, "w0")
+		fence := s.leaseAndStore(time.Second, id, "w0")
 		switch id {
 		case "done":
-			s.effects("acknowledged", m.Ack(2*time.Second, id, fence, nil), "store done done")
+			s.expectEffects("acknowledged", m.Ack(2*time.Second, id, fence, nil), "store done done")
 		case "dead":
-			s.effects("failed", m.Fail(2*time.Second, id, fence, "no card", true), "store dead dead no card")
+			s.expectEffects("failed", m.Fail(2*time.Second, id, fence, "no card", true), "store dead dead no card")
 		}
 	}
 	var held []Job
@@ -119,12 +119,12 @@
 	s.machine = New(Config{LeaseDuration: 10 * time.Second, RecoveryGrace: 30 * time.Second})
 	s.machine.Recover(3*time.Second, held)
 	for _, id := range []string{"done", "dead", "leased"} {
-		s.equal("recovered", s.state(id), id)
+		s.expectEqual("recovered", s.stateName(id), id)
 	}
 }
 
-// runnableIDs returns the ids of the jobs that are announced as runnable, and checks that these announcements come after
-// all other effects.
+// runnableIDs returns the ids of the jobs that are announced as runnable, and checks that these announcements come
+// after all other effects.
 func runnableIDs(t *testing.T, effects []Effect) (ids string) {
 	t.Helper()
 	for i, effect := range effects {
@@ -163,7 +163,7 @@
 	if due, ok := m.NextDue(); !ok || due > 15*time.Second {
 		t.Errorf("due at %v, %v", due, ok)
 	}
-	expectRunnable(t, "renewed", m.Tick(14*time.Second), "")
+	expectRunnable(t, "the heartbeat has renewed the lease", m.Tick(14*time.Second), "")
 	expectRunnable(t, "expired", m.Tick(15*time.Second), "")
 	m.Stored(15*time.Second, "a", 6)
 	expectRunnable(t, "after its backoff", m.Tick(17*time.Second), "a")
@@ -199,7 +199,7 @@
 
 // Jobs that no worker holds can be moved; only an operator may requeue a dead non-idempotent job.
 func TestMoves(t *testing.T) {
-	m := newStoredMachine(t)
+	m := newMachineWithStore(t)
 	m.push(Job{ID: "p", NonIdempotent: true, PayloadHash: 7, Payload: []byte("x")})
 	err := m.push(Job{ID: "p", NonIdempotent: true, PayloadHash: 8})
 	if !errors.Is(err, ErrIDConflict) || err.Error() != "this id is another job's" {
@@ -226,7 +226,7 @@
 
 // A job's own MaxAttempts overrides Config.MaxAttempts: after the last attempt it is discarded.
 func TestMaxAttemptsOfJob(t *testing.T) {
-	m := newStoredMachine(t)
+	m := newMachineWithStore(t)
 	m.push(Job{ID: "d", MaxAttempts: 1, DiscardWhenExhausted: true})
 	m.fail("d", m.lease("d", NoGuarantee), "no", true)
 	m.expectState("d", Discarded)
@@ -234,7 +234,7 @@
 
 // A job's own lease duration overrides Config.LeaseDuration, also when a heartbeat renews the lease.
 func TestLeaseDurationOfJob(t *testing.T) {
-	m := newStoredMachine(t)
+	m := newMachineWithStore(t)
 	m.push(Job{ID: "l", LeaseDuration: 50 * time.Second})
 	fence := m.lease("l", NoGuarantee)
 	m.tickAt(40 * time.Second)
@@ -250,7 +250,7 @@
 
 // A non-idempotent job whose lease expires at a worker that deduplicates is ready again, but only for such workers.
 func TestLeaseOfDeduplicatingWorkerExpires(t *testing.T) {
-	m := newStoredMachine(t)
+	m := newMachineWithStore(t)
 	m.push(Job{ID: "t", NonIdempotent: true})
 	m.lease("t", Deduplicates)
 	m.tickAt(10 * time.Second)
@@ -264,7 +264,7 @@
 // The clock is set back by a day while the program is down: leases, retries and retentions do not end a day late, and
 // new fences are still higher than old ones.
 func TestClockSetBack(t *testing.T) {
-	m := newStoredMachine(t)
+	m := newMachineWithStore(t)
 	m.now = 95 * time.Second
 	m.push(Job{ID: "p", NonIdempotent: true})
 	m.move("p", Discard, false)
--- a/internal/jobs/operator.go
+++ b/internal/jobs/operator.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Resolve records an operator's decision about a job in doubt: either it ran and is Done, or it did not run and becomes
-// Ready. A reason is required. The error is a *TransitionError.
+// Resolve records an operator's decision about a job that is InDoubt. If ran is true, the job becomes Done; otherwise
+// it becomes Ready, and any worker may get it. A reason is required. Any error is a *TransitionError.
 func (m *Machine) Resolve(now time.Duration, id string, ran bool, reason Reason) ([]Effect, error) {
 	entry := m.jobs[id]
 	switch {
@@ -29,7 +29,7 @@
 // Move is a state change that an operator or a client may request for a job that no worker holds.
 type Move uint8
 
-// The moves.
+// The moves that may be requested.
 const (
 	Discard Move = iota // the job will never run
 	Kill                // the job is Dead, and may be requeued
@@ -41,8 +41,8 @@
 // String is the name of the move.
 func (move Move) String() string { return moveNames[move] }
 
-// Move moves a job that waits to run or is dead. operator says that the request comes from an operator; only an operator
-// may requeue a dead non-idempotent job. The error is a *TransitionError.
+// Move changes the state of a job that waits to run or is Dead. operator tells whether the request comes from an
+// operator: only an operator may requeue a Dead non-idempotent job. Any error is a *TransitionError.
 func (m *Machine) Move(now time.Duration, id string, move Move, reason Reason, operator bool) ([]Effect, error) {
 	entry := m.jobs[id]
 	switch {
--- a/internal/jobs/report_test.go
+++ b/internal/jobs/report_test.go
@@ -15,34 +15,34 @@
 // which no report about it may be accepted.
 type unleasedJob struct {
 	name    string
-	prepare func(m *storedMachine)
+	prepare func(m *machineWithStore)
 	fence   uint64
 	state   State
 }
 
 func unleasedJobs() []unleasedJob {
-	push := func(m *storedMachine) { m.push(Job{ID: "r", NonIdempotent: true}) }
+	push := func(m *machineWithStore) { m.push(Job{ID: "r", NonIdempotent: true}) }
 	return []unleasedJob{
-		{"being stored", func(m *storedMachine) { m.Push(m.now, Job{ID: "r", NonIdempotent: true}, 0) }, 0, Accepted},
-		{"scheduled", func(m *storedMachine) {
-			m.carryOut(m.Push(m.now, Job{ID: "r", NonIdempotent: true}, time.Hour))
+		{"being stored", func(m *machineWithStore) { m.Push(m.now, Job{ID: "r", NonIdempotent: true}, 0) }, 0, Accepted},
+		{"scheduled", func(m *machineWithStore) {
+			m.applyEffects(m.Push(m.now, Job{ID: "r", NonIdempotent: true}, time.Hour))
 		}, 0, Scheduled},
 		{"ready", push, 0, Ready},
-		{"ready after a restart", func(m *storedMachine) {
+		{"ready after a restart", func(m *machineWithStore) {
 			push(m)
 			m.restart()
 		}, 0, Ready},
-		{"its lease could not be stored", func(m *storedMachine) {
+		{"its lease could not be stored", func(m *machineWithStore) {
 			push(m)
 			m.Assign(m.now, "r", "w", NoGuarantee)
 			job, _ := m.Get("r")
-			m.carryOut(m.StoreFailed("r", job.Version, errDiskFull))
+			m.applyEffects(m.StoreFailed("r", job.Version, errDiskFull))
 		}, 1, Ready},
-		{"its lease was returned before it started", func(m *storedMachine) {
+		{"its lease was returned before it started", func(m *machineWithStore) {
 			push(m)
 			m.fail("r", m.lease("r", NoGuarantee), "full", false)
 		}, 1, Ready},
-		{"its lease was returned, after a restart", func(m *storedMachine) {
+		{"its lease was returned, after a restart", func(m *machineWithStore) {
 			push(m)
 			m.fail("r", m.lease("r", NoGuarantee), "full", false)
 			m.restart()
@@ -51,23 +51,23 @@
 }
 
 // reports are all reports of a worker about a job.
-func reports() map[string]func(m *storedMachine, fence uint64) error {
-	return map[string]func(m *storedMachine, fence uint64) error{
-		"ack": func(m *storedMachine, fence uint64) error {
-			return m.carryOut(m.Ack(m.now, "r", fence, nil))
+func reports() map[string]func(m *machineWithStore, fence uint64) error {
+	return map[string]func(m *machineWithStore, fence uint64) error{
+		"ack": func(m *machineWithStore, fence uint64) error {
+			return m.applyEffects(m.Ack(m.now, "r", fence, nil))
 		},
-		"fail": func(m *storedMachine, fence uint64) error {
-			return m.carryOut(m.Fail(m.now, "r", fence, "no card", true))
+		"fail": func(m *machineWithStore, fence uint64) error {
+			return m.applyEffects(m.Fail(m.now, "r", fence, "no card", true))
 		},
-		"fail, not started": func(m *storedMachine, fence uint64) error {
-			return m.carryOut(m.Fail(m.now, "r", fence, "full", false))
+		"fail, not started": func(m *machineWithStore, fence uint64) error {
+			return m.applyEffects(m.Fail(m.now, "r", fence, "full", false))
 		},
-		"start": func(m *storedMachine, fence uint64) error {
+		"start": func(m *machineWithStore, fence uint64) error {
 			effects, err := m.Start(m.now, "r", fence)
-			m.carryOut(effects)
+			m.applyEffects(effects)
 			return err
 		},
-		"extend": func(m *storedMachine, fence uint64) error {
+		"extend": func(m *machineWithStore, fence uint64) error {
 			m.Extend("r", fence, m.now+time.Hour)
 			return ErrLeaseVoid // Extend has no answer
 		},
@@ -79,7 +79,7 @@
 	for _, job := range unleasedJobs() {
 		for report, send := range reports() {
 			t.Run(job.name+"/"+report, func(t *testing.T) {
-				m := newStoredMachine(t)
+				m := newMachineWithStore(t)
 				job.prepare(m)
 				before, _ := m.Get("r")
 				if err := send(m, job.fence); !errors.Is(err, ErrLeaseVoid) {
--- a/internal/jobs/script_test.go
+++ b/internal/jobs/script_test.go
@@ -9,7 +9,7 @@
 
 var errDiskFull = errors.New("disk full")
 
-// effectNames are the names of effects in these tests.
+// effectNames are short names of effects, which describeEffects uses.
 var effectNames = map[EffectKind]string{
 	StoreJob:            "store",
 	AnswerPush:          "answer",
@@ -20,8 +20,8 @@
 	AnnounceLeaseExpiry: "expired",
 }
 
-// describeEffects describes each effect, except AnnounceRunnable, by its name, the job's id and state, and the error or,
-// without one, the job's reason.
+// describeEffects returns one phrase for each effect, separated by semicolons: the effect's name, the job's id and
+// state, and the effect's error or, if there is none, the job's reason. It leaves out AnnounceRunnable.
 func describeEffects(effects []Effect) string {
 	var descriptions []string
 	for _, effect := range effects {
@@ -38,52 +38,53 @@
 	return strings.Join(descriptions, "; ")
 }
 
-// script checks the effects of each call to a machine. It stores nothing by itself: the test calls Stored.
-type script struct {
+// effectChecker compares the effects of calls to a machine with what a test expects. It does not carry them out: the
+// test itself calls Stored to confirm that a job is stored.
+type effectChecker struct {
 	t       *testing.T
 	machine *Machine
 }
 
-func newScript(t *testing.T) *script {
-	return &script{t, New(Config{LeaseDuration: 10 * time.Second, RecoveryGrace: 5 * time.Second, MaxAttempts: 2})}
+func newEffectChecker(t *testing.T) *effectChecker {
+	return &effectChecker{t, New(Config{LeaseDuration: 10 * time.Second, RecoveryGrace: 5 * time.Second, MaxAttempts: 2})}
 }
 
-// effects checks the effects of a call.
-func (s *script) effects(step string, effects []Effect, want string) {
+// expectEffects compares the effects of a call with want, in the form of describeEffects.
+func (s *effectChecker) expectEffects(step string, effects []Effect, want string) {
 	s.t.Helper()
-	s.equal(step, describeEffects(effects), want)
+	s.expectEqual(step, describeEffects(effects), want)
 }
 
-// equal compares two texts.
-func (s *script) equal(step, got, want string) {
+// expectEqual fails the test if got is not want.
+func (s *effectChecker) expectEqual(step, got, want string) {
 	s.t.Helper()
 	if got != want {
 		s.t.Errorf("%s: %q, want %q", step, got, want)
 	}
 }
 
-// state is the name of a job's state.
-func (s *script) state(id string) string {
+// stateName returns the name of a job's state.
+func (s *effectChecker) stateName(id string) string {
 	job, _ := s.machine.Get(id)
 	return job.State.String()
 }
 
-// leaseStored leases a ready job, stores that, and returns the fence of the lease.
-func (s *script) leaseStored(now time.Duration, id, worker string) uint64 {
+// leaseAndStore leases a ready job to a worker, confirms that the lease is stored, and returns its fence.
+func (s *effectChecker) leaseAndStore(now time.Duration, id, worker string) uint64 {
 	s.machine.Assign(now, id, worker, NoGuarantee)
 	job, _ := s.machine.Get(id)
 	s.machine.Stored(now, id, job.Version)
 	return job.Fence
 }
 
-// storedMachine is a machine with a clock, and with a store that succeeds at once.
-type storedMachine struct {
+// machineWithStore is a machine with a clock that the test sets, and with a store that confirms each write at once.
+type machineWithStore struct {
 	*Machine
 	t   *testing.T
 	now time.Duration
 }
 
-func newStoredMachine(t *testing.T) *storedMachine {
+func newMachineWithStore(t *testing.T) *machineWithStore {
 	config := Config{
 		LeaseDuration: 10 * time.Second,
 		RecoveryGrace: 5 * time.Second,
@@ -91,11 +92,12 @@
 		Retention:     100 * time.Second,
 		DeadRetention: 1000 * time.Second,
 	}
-	return &storedMachine{Machine: New(config), t: t}
+	return &machineWithStore{Machine: New(config), t: t}
 }
 
-// carryOut reports each StoreJob effect as stored, and returns the error of the last answer.
-func (m *storedMachine) carryOut(effects []Effect) (err error) {
+// applyEffects confirms each StoreJob effect as stored, and handles the effects that follow from that. It returns the
+// error of the last answer to a push or a report.
+func (m *machineWithStore) applyEffects(effects []Effect) (err error) {
 	for len(effects) > 0 {
 		effect := effects[0]
 		effects = effects[1:]
@@ -109,42 +111,42 @@
 	return err
 }
 
-func (m *storedMachine) push(job Job) error { return m.carryOut(m.Push(m.now, job, 0)) }
+func (m *machineWithStore) push(job Job) error { return m.applyEffects(m.Push(m.now, job, 0)) }
 
 // lease leases a ready job to a worker and returns its fence.
-func (m *storedMachine) lease(id string, guarantee Guarantee) uint64 {
+func (m *machineWithStore) lease(id string, guarantee Guarantee) uint64 {
 	m.t.Helper()
-	m.carryOut(m.Assign(m.now, id, "w", guarantee))
+	m.applyEffects(m.Assign(m.now, id, "w", guarantee))
 	m.expectState(id, Leased)
 	job, _ := m.Get(id)
 	return job.Fence
 }
 
-func (m *storedMachine) fail(id string, fence uint64, reason Reason, started bool) {
-	m.carryOut(m.Fail(m.now, id, fence, reason, started))
+func (m *machineWithStore) fail(id string, fence uint64, reason Reason, started bool) {
+	m.applyEffects(m.Fail(m.now, id, fence, reason, started))
 }
 
-func (m *storedMachine) move(id string, move Move, operator bool) error {
+func (m *machineWithStore) move(id string, move Move, operator bool) error {
 	effects, err := m.Move(m.now, id, move, "asked", operator)
-	m.carryOut(effects)
+	m.applyEffects(effects)
 	return err
 }
 
 // tickAt sets the clock and lets the machine act on what is due.
-func (m *storedMachine) tickAt(now time.Duration) {
+func (m *machineWithStore) tickAt(now time.Duration) {
 	m.now = now
-	m.carryOut(m.Tick(now))
+	m.applyEffects(m.Tick(now))
 }
 
-// restart recovers a new machine from what is stored.
-func (m *storedMachine) restart() {
+// restart replaces the machine by a new one that recovers the old one's jobs.
+func (m *machineWithStore) restart() {
 	var disk []Job
 	m.Each(func(job Job) { disk = append(disk, job) })
 	m.Machine = New(m.config)
-	m.carryOut(m.Recover(m.now, disk))
+	m.applyEffects(m.Recover(m.now, disk))
 }
 
-func (m *storedMachine) expectState(id string, want State) {
+func (m *machineWithStore) expectState(id string, want State) {
 	m.t.Helper()
 	job, known := m.Get(id)
 	if !known || job.State != want {
