--- a/internal/faktory/durable_test.go
+++ b/internal/faktory/durable_test.go
@@ -13,7 +13,7 @@
 
 // withDurableFrontEnd opens a front end with durable queues on the store at file,
 // calls run, and closes the front end. options contains further lines of the
-// durable table.
+// [durable] table of the configuration.
 func withDurableFrontEnd(t *testing.T, file, options string, run func(address string)) {
 	t.Helper()
 	t.Run("", func(t *testing.T) {
@@ -41,11 +41,13 @@
 	Custom struct{ Fence uint64 }
 }
 
-// message returns a message about the job under its lease.
-func (l leasedJob) message() string { return messageUnder(l.Jid, l.Custom.Fence) }
+// leaseArgument returns the argument of START, ACK or FAIL for the job under its
+// lease.
+func (l leasedJob) leaseArgument() string { return leaseArgumentFor(l.Jid, l.Custom.Fence) }
 
-// messageUnder returns a message about a job under a fence.
-func messageUnder(jid string, fence uint64) string {
+// leaseArgumentFor returns the argument of START, ACK or FAIL for a job under the
+// lease with the given fence.
+func leaseArgumentFor(jid string, fence uint64) string {
 	return fmt.Sprintf(`{"jid":%q,"fence":%d}`, jid, fence)
 }
 
@@ -70,7 +72,7 @@
 	return job
 }
 
-// expectAck acknowledges a job and checks that the answer begins with want.
+// expectAck acknowledges a job and checks that the reply begins with want.
 func (c *client) expectAck(jid, want string) {
 	c.t.Helper()
 	c.expect(`ACK {"jid":"`+jid+`"}`, want)
@@ -133,8 +135,8 @@
 	if string(started.Args) != "[1]" {
 		t.Fatalf("leased %+v", started)
 	}
-	worker.expect("START "+started.message(), "+OK")
-	worker.expect("START "+messageUnder(started.Jid, started.Custom.Fence+1), "-ERR VOID")
+	worker.expect("START "+started.leaseArgument(), "+OK")
+	worker.expect("START "+leaseArgumentFor(started.Jid, started.Custom.Fence+1), "-ERR VOID")
 	return started
 }
 
@@ -159,10 +161,10 @@
 	producer.expectState("at the end", "keep-00002", "success")
 }
 
-// A worker disconnects with two leased jobs. When the leases expire, the
-// non-idempotent job is in doubt and the idempotent one goes to the next worker.
-// A non-idempotent job also goes to the next worker if its first worker honors
-// fences and has not started it; the first worker's START is then rejected.
+// A worker lets the leases of two jobs expire. The non-idempotent job is then in
+// doubt, and the idempotent one can be leased again. A non-idempotent job can also
+// be leased to another worker if its first worker honors fences and has not started
+// it; the first worker's START is then rejected.
 func TestDurableLeaseExpires(t *testing.T) {
 	withDurableFrontEnd(t, newStorePath(t), "lease_s = 0.3\nbackoff_s = 0.01\n", func(address string) {
 		producer := dialProducer(t, address)
@@ -181,8 +183,8 @@
 		if renewed.Custom.Fence <= expired.Custom.Fence {
 			t.Fatalf("leased %+v after %+v", renewed, expired)
 		}
-		fenced.expect("START "+messageUnder("slow-00001", expired.Custom.Fence), "-ERR VOID")
-		fenced.expect("ACK "+messageUnder("slow-00001", expired.Custom.Fence), "-ERR VOID")
+		fenced.expect("START "+leaseArgumentFor("slow-00001", expired.Custom.Fence), "-ERR VOID")
+		fenced.expect("ACK "+leaseArgumentFor("slow-00001", expired.Custom.Fence), "-ERR VOID")
 		for range 5 { // heartbeats renew the lease
 			time.Sleep(100 * time.Millisecond)
 			worker.expect(`BEAT {"wid":"w1"}`, "+OK")
@@ -193,7 +195,8 @@
 	})
 }
 
-// durableRun is a producer and a worker of a front end with durable queues.
+// durableRun is a test with one producer and one worker, which are connected to a
+// front end with durable queues.
 type durableRun struct {
 	t        *testing.T
 	producer *client
@@ -219,9 +222,9 @@
 	}
 }
 
-// checkRetries checks that the attempts of a job are bounded, also by its retry
-// field, and that a non-idempotent job that has run is dead after its first
-// failure.
+// checkRetries checks that the number of attempts of a job is limited by the
+// configuration and by the job's retry field, and that a non-idempotent job that has
+// been started is dead after its first failure.
 func (r *durableRun) checkRetries() {
 	r.producer.expect(pushCommand("fails-twice", "status-check", ""), "+OK")
 	for range 2 {
@@ -241,8 +244,8 @@
 	r.producer.awaitState("fails-paid", "dead")
 }
 
-// checkRequeue checks that MUTATE requeues the jobs that match its filter, but not
-// one that must not run twice.
+// checkRequeue checks that MUTATE requeues the dead jobs that match its filter, and
+// rejects this for a non-idempotent job, which must not run twice.
 func (r *durableRun) checkRequeue() {
 	r.producer.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"jids":["fails-paid"]}}`, "-ERR REFUSED")
 	r.producer.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"regexp":"*no such thing*"}}`, "+OK")
@@ -256,19 +259,19 @@
 	r.worker.expect(`TRACK SET {"jid":"fails-twice","percent":40,"desc":"charging"}`, "+OK")
 	got := r.producer.do("TRACK GET fails-twice")
 	if !strings.Contains(got, `"percent":40`) || !strings.Contains(got, `"working"`) {
-		r.t.Errorf("TRACK: %s", got)
+		r.t.Errorf("TRACK GET: %s", got)
 	}
 	r.worker.expectAck("fails-twice", "+OK")
 }
 
-// scheduledJob returns the JSON of a renewal that is scheduled for a time.
+// scheduledJob returns the JSON of a renewal that is scheduled to run at a time.
 func scheduledJob(jid string, at time.Time) string {
 	job := strings.TrimPrefix(pushCommand(jid, "renewal", ""), "PUSH ")
 	return strings.Replace(job, `"args"`, `"at":"`+at.Format(time.RFC3339Nano)+`","args"`, 1)
 }
 
-// checkScheduledBulk checks that PUSHB stores several jobs, and that a scheduled job
-// is not handed out before its time.
+// checkScheduledBulk checks that PUSHB stores the valid jobs of a list and names the
+// invalid one, and that a scheduled job is not handed out before its time.
 func (r *durableRun) checkScheduledBulk() {
 	soon := time.Now().Add(300 * time.Millisecond)
 	first := scheduledJob("bulk-00001", soon)
@@ -283,7 +286,7 @@
 	r.producer.awaitState("bulk-00002", "dead")
 }
 
-// checkRejections checks the answers to invalid commands.
+// checkRejections checks the replies to commands that are invalid or not permitted.
 func (r *durableRun) checkRejections() {
 	for command, want := range map[string]string{
 		"QUEUE PAUSE":                            "-ERR MALFORMED",
@@ -319,8 +322,8 @@
 	r.worker.expectLease("renewal", "held-00001")
 }
 
-// checkDiscarding checks that QUEUE REMOVE and FLUSH discard jobs that wait or are
-// dead, but no leased one.
+// checkDiscarding checks that QUEUE REMOVE discards waiting jobs, that FLUSH discards
+// dead ones too, and that neither discards a leased one.
 func (r *durableRun) checkDiscarding() {
 	producer := r.producer
 	producer.expect(pushCommand("held-00002", "renewal", ""), "+OK")
--- a/internal/faktory/foreignreport_test.go
+++ b/internal/faktory/foreignreport_test.go
@@ -80,13 +80,13 @@
 		leased = worker.expectLease("renewal", jid)
 		reportFromOthers(t, address, jid, leased.Custom.Fence)
 		worker.expect(`TRACK SET {"jid":"`+jid+`","percent":40}`, "+OK")
-		worker.expect("START "+leased.message(), "+OK")
+		worker.expect("START "+leased.leaseArgument(), "+OK")
 		reportFromOthers(t, address, jid, leased.Custom.Fence)
 	})
 	withDurableFrontEnd(t, file, "", func(address string) {
 		reportFromOthers(t, address, jid, leased.Custom.Fence)
 		worker := dialWorker(t, address, "w1", labelFences)
-		worker.expect("ACK "+leased.message(), "+OK")
+		worker.expect("ACK "+leased.leaseArgument(), "+OK")
 		worker.expectState("after its worker's ACK", jid, "success")
 	})
 }
--- a/internal/faktory/golden_test.go
+++ b/internal/faktory/golden_test.go
@@ -9,13 +9,13 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// directTranscript is a transcript with a front end whose queues are direct.
-// Connections p and q are producers and w is a worker; n0, n1, ... send no valid
-// HELLO.
+// directTranscript is a transcript of connections to a front end whose queues are
+// direct, that is, not durable. Connections p and q are producers, w is a worker, and
+// n0, n1, ... are those of firstCommands.
 type directTranscript struct{ *transcript }
 
 // firstCommands sends each command as the first one of a new connection, and
-// records the answer and what follows it: another answer or the end of the
+// records the reply and what follows it: another reply or the end of the
 // connection.
 func (s directTranscript) firstCommands(commands ...string) {
 	s.t.Helper()
@@ -27,7 +27,7 @@
 	}
 }
 
-// completeJob pushes a job, and lets the worker fetch it and close it by ACK or
+// completeJob pushes a job, and lets the worker fetch it and report it by ACK or
 // FAIL.
 func (s directTranscript) completeJob(jid, class, verb string) {
 	s.t.Helper()
@@ -37,8 +37,8 @@
 	s.answer("p")
 }
 
-// invalidCommands sends commands of a producer, most of them invalid, that are
-// answered at once.
+// invalidCommands sends commands on the connection of a producer. Most of them are
+// invalid, and all are answered at once.
 func (s directTranscript) invalidCommands() {
 	s.t.Helper()
 	s.doAll("p",
@@ -76,8 +76,9 @@
 	)
 }
 
-// jobs pushes jobs that run, and jids that have run before or are in progress.
-func (s directTranscript) jobs() {
+// pushNewAndKnownJids pushes jobs with new jids, which run, and jids of jobs that have
+// run before or are in progress.
+func (s directTranscript) pushNewAndKnownJids() {
 	s.t.Helper()
 	s.completeJob("direct-01", "renewal", "ACK")
 	s.completeJob("direct-02", "status-check", "ACK")
@@ -93,7 +94,8 @@
 	s.answer("p")
 }
 
-// drainWorker lets the worker report quiet and send END.
+// drainWorker lets the worker fetch before and after it reports that it is quiet, and
+// then send END.
 func (s directTranscript) drainWorker() {
 	s.t.Helper()
 	s.do("w", `FETCH renewal`) // there is no job
@@ -103,8 +105,8 @@
 	s.answer("w")
 }
 
-// Covers each command before HELLO and each one for direct queues, with every
-// answer that can be caused without a fault.
+// Covers each command before HELLO and each command for direct queues, with every
+// reply that can be caused without a fault.
 func TestGoldenDirect(t *testing.T) {
 	address, _ := openFrontEnd(t, serverConfig, nil)
 	s := directTranscript{newTranscript(t, address)}
@@ -124,7 +126,7 @@
 	s.hello("p", "")
 	s.invalidCommands()
 	s.hello("w", `,"wid":"w1","hostname":"h","pid":7,"labels":["zone:here"]`)
-	s.jobs()
+	s.pushNewAndKnownJids()
 	s.drainWorker()
 	tooLong := strings.Repeat("z", maxCommandBytes+10)
 	s.do("p", tooLong)
@@ -142,8 +144,8 @@
 	goldentest.Compare(t, "password.golden", s.text.String()+hashPassword("open sesame", "0123456789abcdef", hashIterations)+"\n")
 }
 
-// Covers the answers to a PUSH that was rejected, has failed, or repeats a known
-// jid.
+// Covers the replies to a PUSH whose job is rejected or fails, or whose jid is
+// already known.
 func TestGoldenOutcomes(t *testing.T) {
 	var text strings.Builder
 	for _, retryAfter := range []time.Duration{0, 1500 * time.Millisecond} {
@@ -160,17 +162,18 @@
 	goldentest.Compare(t, "outcomes.golden", text.String())
 }
 
-// durableTranscript is a transcript with a front end whose queues are durable: p
-// is a producer, w a worker.
+// durableTranscript is a transcript of connections to a front end whose queues are
+// durable. Connection p is a producer, and w is a worker.
 type durableTranscript struct{ *transcript }
 
-// durablePush returns a PUSH. more contains further fields of the job.
+// durablePush returns a PUSH command. more contains further JSON fields of the job,
+// each after a comma.
 func durablePush(jid, class, more string) string {
 	return fmt.Sprintf(`PUSH {"jid":%q,"queue":%q,"jobtype":"x","args":[1]%s}`, jid, class, more)
 }
 
-// pushes sends PUSHes that are accepted and that are rejected.
-func (s durableTranscript) pushes() {
+// pushValidAndInvalid sends PUSHes that are accepted and that are rejected.
+func (s durableTranscript) pushValidAndInvalid() {
 	s.t.Helper()
 	s.doAll("p",
 		durablePush("kept-00001", "renewal", ""),
@@ -219,8 +222,8 @@
 	s.awaitState(jid, "dead")
 }
 
-// operate sends the commands with which clients change jobs and queues.
-func (s durableTranscript) operate() {
+// manageJobsAndQueues sends the commands with which clients change jobs and queues.
+func (s durableTranscript) manageJobsAndQueues() {
 	s.t.Helper()
 	s.doAll("p",
 		`TRACK GET dead-00001`,
@@ -262,11 +265,11 @@
 		s := durableTranscript{newTranscript(t, address)}
 		s.hello("p", "")
 		s.hello("w", `,"wid":"w1","labels":["fences:1"]`)
-		s.pushes()
+		s.pushValidAndInvalid()
 		s.completeJob()
 		s.failJob("dead-00001", "renewal", `,"custom":{"a":1}`, `,"errtype":"Broken","message":"no till"`)
 		s.failJob("dead-00002", "status-check", "", "")
-		s.operate()
+		s.manageJobsAndQueues()
 		goldentest.Compare(t, "durable.golden", s.text.String())
 	})
 	withDurableFrontEnd(t, file, "flush = true\n", func(address string) {
--- a/internal/faktory/mutate.go
+++ b/internal/faktory/mutate.go
@@ -61,7 +61,7 @@
 		if err == nil && moveError != nil {
 			err = fmt.Errorf("REFUSED %w", moveError)
 		}
-		reply(resultLine(err))
+		reply(resultReply(err))
 	})
 }
 
@@ -103,7 +103,7 @@
 	reply := c.deferReply()
 	queues := c.server.durable
 	queues.moveAll(jobs.Discard, reason, matches)
-	queues.AfterSync(func(err error) { reply(resultLine(err)) })
+	queues.AfterSync(func(err error) { reply(resultReply(err)) })
 }
 
 // moveAll moves the jobs that match. If some cannot be moved, it returns the last
--- a/internal/faktory/protocol.go
+++ b/internal/faktory/protocol.go
@@ -10,8 +10,8 @@
 // protocolVersion is the supported version of the Faktory work protocol.
 const protocolVersion = 2
 
-// maxCommandBytes is the maximum length of a command line, and of a bulk
-// string.
+// maxCommandBytes is the maximum length of a line without its line ending, and of
+// the content of a bulk string.
 const maxCommandBytes = 70 << 10
 
 // Commands of the protocol.
@@ -38,8 +38,8 @@
 	replyError     = "-ERR "
 	replyMalformed = replyError + "MALFORMED "
 	replyUnknown   = replyError + "UNKNOWN "
-	nullBulk       = "$-1" // the answer to FETCH if there is no job
-	greetingPrefix = "HI " // prefix of the text of a server's first reply
+	nullBulk       = "$-1" // reply to FETCH if there is no job
+	greetingPrefix = "HI " // begins the server's first reply, after the +
 )
 
 var (
@@ -47,8 +47,9 @@
 	errProtocol = errors.New("protocol violation")
 )
 
-// parseLine parses the first line of b and returns how many bytes it uses. If the
-// line is not complete yet, used is 0 and err is nil.
+// parseLine returns the first line of b without its line ending. used is the number
+// of bytes of the line with its ending. If the line is not complete yet, used is 0
+// and err is nil.
 func parseLine(b []byte) (line []byte, used int, err error) {
 	end := bytes.IndexByte(b, '\n')
 	if end > maxCommandBytes || end < 0 && len(b) > maxCommandBytes {
@@ -66,7 +67,7 @@
 	return strings.ToUpper(string(first)), bytes.TrimSpace(rest)
 }
 
-// appendBulk appends text as a bulk string.
+// appendBulk appends text to out as a bulk string: $, the length, and the text.
 func appendBulk(out, text []byte) []byte {
 	out = append(out, kindBulk)
 	out = strconv.AppendInt(out, int64(len(text)), 10)
@@ -75,8 +76,8 @@
 	return append(out, "\r\n"...)
 }
 
-// singleLine replaces control characters by spaces, so that a text fits on a
-// line of the protocol.
+// singleLine replaces control characters, such as line ends, by spaces, so that the
+// text can be part of a line of the protocol.
 func singleLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
@@ -92,9 +93,9 @@
 	return !strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r >= 0x7f })
 }
 
-// resultLine returns the reply to a command that has succeeded, or failed with
-// err.
-func resultLine(err error) string {
+// resultReply returns the reply line for the outcome of a command: +OK if err is
+// nil, and otherwise -ERR with the text of err.
+func resultReply(err error) string {
 	if err == nil {
 		return replyOK
 	}
--- a/internal/faktory/push.go
+++ b/internal/faktory/push.go
@@ -37,7 +37,7 @@
 	job.request.ReceivedAt = server.dispatcher.Loop.QueuedSince()
 	if isDurable {
 		reply := c.deferReply()
-		c.storeJob(&job, func(err error) { reply(resultLine(err)) })
+		c.storeJob(&job, func(err error) { reply(resultReply(err)) })
 		release()
 		return
 	}
--- a/internal/faktory/queues.go
+++ b/internal/faktory/queues.go
@@ -81,7 +81,7 @@
 	for i, name := range names {
 		c.server.durable.scheduler.Pause(name, pause, func(err error) {
 			if i == last { // changes are stored in order, so all are on disk
-				reply(resultLine(err))
+				reply(resultReply(err))
 			}
 		})
 	}
--- a/internal/faktory/reports.go
+++ b/internal/faktory/reports.go
@@ -163,5 +163,5 @@
 	if err != nil {
 		err = fmt.Errorf("VOID %w", err)
 	}
-	return resultLine(err)
+	return resultReply(err)
 }
--- a/internal/faktory/server_test.go
+++ b/internal/faktory/server_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// An invalid command is answered with an error that names its kind, and the
-// connection stays open.
+// The reply to an invalid command is an error whose text begins with the kind of the
+// error, and the connection stays open.
 func TestInvalidCommandIsAnswered(t *testing.T) {
 	address, _ := openFrontEnd(t, serverConfig, nil)
 	producer := dialProducer(t, address)
@@ -73,7 +73,7 @@
 	}
 }
 
-// An invalid first command is answered, and the connection is closed.
+// The reply to an invalid first command is an error, and the connection is closed.
 func TestInvalidFirstCommandClosesTheConnection(t *testing.T) {
 	address, _ := openFrontEnd(t, serverConfig, nil)
 	for _, first := range []string{`HELLO {"v":3}`, `HELLO x`, `PUSH {}`, `HELLO {"v":2,"wid":"a b"}`} {
@@ -112,12 +112,12 @@
 func TestHashPassword(t *testing.T) {
 	got := hashPassword("foobar", "55104dc76695721d", 1545)
 	if got != "6d877f8e5544b1f2598768f817413ab8a357afffa924dedae99eb91472d4ec30" {
-		t.Errorf("hash %s", got)
+		t.Errorf("hash %s, want that of the specification", got)
 	}
 }
 
-// A job that no worker fetches in time is rejected, with a time after which to
-// retry. A job whose client has no time left is rejected at once.
+// A job that no worker fetches in time is rejected, and the reply says after what
+// time to retry. A job with hardly any time left is rejected at once.
 func TestRejectionsAndDeadlines(t *testing.T) {
 	address, rig := openFrontEnd(t, serverConfig, nil)
 	producer := dialProducer(t, address)
@@ -129,7 +129,8 @@
 	if !strings.HasPrefix(got, "-ERR REFUSED") {
 		t.Errorf("no time, and the same jid again after a rejection: %q", got)
 	}
-	// A job that is handed out and never closed fails at its deadline: it may have run.
+	// A job that was fetched and for which no ACK or FAIL arrives fails at its deadline,
+	// because it may have run.
 	worker := dialWorker(t, address, "w1")
 	fetched := make(chan string, 1)
 	go func() { fetched <- worker.fetch(bothQueues) }()
@@ -138,7 +139,7 @@
 		t.Fatal("not fetched")
 	}
 	if got := awaitAnswer(t, answer); !strings.HasPrefix(got, "-ERR FAILED it may have run") {
-		t.Errorf("overdue: %q", got)
+		t.Errorf("after the deadline: %q", got)
 	}
 	dispatcher := rig.Dispatcher
 	rig.Do(func() {
@@ -149,18 +150,18 @@
 	})
 }
 
-// A worker fetches a non-idempotent and an idempotent job and disconnects before
-// its ACKs. The idempotent job goes to another worker. The non-idempotent one is
-// not handed out again, not even when it is pushed again; a late ACK makes it
-// served.
+// A worker fetches a non-idempotent and an idempotent job on two connections, which
+// close before its ACKs. The idempotent job goes to another worker. The
+// non-idempotent one is not handed out again, not even when it is pushed again;
+// after a late ACK, the reply to a push of it is +OK.
 func TestLostAck(t *testing.T) {
 	address, _ := openFrontEnd(t, serverConfig, nil)
-	lostWorker := dialWorker(t, address, "w1")
+	firstConn := dialWorker(t, address, "w1")
 	renewal := pushAsync(t, address, pushCommand("lost-00001", "renewal", ""))
 	statusCheck := pushAsync(t, address, pushCommand("lost-00002", "status-check", ""))
-	first := lostWorker.fetch(bothQueues)
-	secondLostWorker := dialWorker(t, address, "w1")
-	second := secondLostWorker.fetch(bothQueues)
+	first := firstConn.fetch(bothQueues)
+	secondConn := dialWorker(t, address, "w1")
+	second := secondConn.fetch(bothQueues)
 	fetched := []string{jidOf(first), jidOf(second)}
 	if !slices.Contains(fetched, "lost-00001") || !slices.Contains(fetched, "lost-00002") {
 		t.Fatalf("fetched %q", fetched)
@@ -171,8 +172,8 @@
 		t.Errorf("pushed while in progress: %q", got)
 	}
 	otherWorker := dialWorker(t, address, "w2")
-	lostWorker.conn.Close()
-	secondLostWorker.conn.Close()
+	firstConn.conn.Close()
+	secondConn.conn.Close()
 	if got := otherWorker.fetch(bothQueues); jidOf(got) != "lost-00002" {
 		t.Fatalf("the idempotent job is not retried: %q", got)
 	}
@@ -198,29 +199,30 @@
 	}
 }
 
-// A worker that has reported quiet gets no more jobs, neither on a parked FETCH nor
-// on a later one, but can finish the jobs that it has.
+// A worker that has sent BEAT with the state quiet gets no more jobs, neither by a
+// FETCH that was already waiting nor by a later one, but can finish the jobs that it
+// has.
 func TestQuietWorkerDrains(t *testing.T) {
 	address, _ := openFrontEnd(t, serverConfig, nil)
-	quiet := dialWorker(t, address, "w1")
-	secondQuiet := dialWorker(t, address, "w1")
+	quietConn := dialWorker(t, address, "w1")
+	secondQuietConn := dialWorker(t, address, "w1")
 	firstAnswer := pushAsync(t, address, pushCommand("quiet-0001", "renewal", ""))
-	if jidOf(quiet.fetch(bothQueues)) != "quiet-0001" {
+	if jidOf(quietConn.fetch(bothQueues)) != "quiet-0001" {
 		t.Fatal("not fetched")
 	}
 	parked := make(chan string, 1)
-	go func() { parked <- secondQuiet.do("FETCH " + bothQueues) }()
-	if got := quiet.do(`BEAT {"wid":"w1","current_state":"quiet"}`); got != "+OK" {
+	go func() { parked <- secondQuietConn.do("FETCH " + bothQueues) }()
+	if got := quietConn.do(`BEAT {"wid":"w1","current_state":"quiet"}`); got != "+OK" {
 		t.Fatalf("BEAT %q", got)
 	}
 	secondAnswer := pushAsync(t, address, pushCommand("quiet-0002", "status-check", ""))
 	if got := awaitAnswer(t, parked); got != nullBulk {
 		t.Errorf("a quiet worker was given %q", got)
 	}
-	if got := secondQuiet.do("FETCH " + bothQueues); got != nullBulk {
+	if got := secondQuietConn.do("FETCH " + bothQueues); got != nullBulk {
 		t.Errorf("a quiet worker was given %q", got)
 	}
-	quiet.ack("quiet-0001")
+	quietConn.ack("quiet-0001")
 	if got := awaitAnswer(t, firstAnswer); got != "+OK" {
 		t.Errorf("the job that it had: %q", got)
 	}
@@ -236,7 +238,7 @@
 	}
 }
 
-// A worker gets only jobs of the queues that it names in FETCH.
+// A worker gets only jobs from the queues that its FETCH names.
 func TestWorkerGetsOnlyItsQueues(t *testing.T) {
 	address, _ := openFrontEnd(t, serverConfig, nil)
 	workers := map[*client]string{
@@ -267,7 +269,7 @@
 	running.Wait()
 }
 
-// runCounts counts how often something has run, by name.
+// runCounts counts the jobs that each worker has run, by wid.
 type runCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -275,10 +277,10 @@
 
 func newRunCounts() *runCounts { return &runCounts{counts: map[string]int{}} }
 
-func (r *runCounts) add(name string) {
+func (r *runCounts) add(wid string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts[name]++
+	r.counts[wid]++
 }
 
 // take returns the counts and resets them.
@@ -291,7 +293,7 @@
 }
 
 // pushAll pushes the jobs with the numbers from first to end-1 on six connections,
-// and waits until all have run.
+// and waits for all replies, which are sent when the jobs have run.
 func pushAll(t *testing.T, address string, first, end int) {
 	t.Helper()
 	const producers = 6
@@ -310,7 +312,8 @@
 	running.Wait()
 }
 
-// A worker in slow start gets fewer jobs than workers that have finished it.
+// A worker in slow start gets fewer jobs than workers that have completed their slow
+// start.
 func TestSlowStartSparesNewWorker(t *testing.T) {
 	address, _ := openFrontEnd(t, serverConfig, nil)
 	runs := newRunCounts()
