--- a/internal/rehearsal/processusage/processusage.go
+++ b/internal/rehearsal/processusage/processusage.go
@@ -18,8 +18,8 @@
 
 // CPU returns the processor time that a process has used so far. It fails if there is no such process.
 func CPU(pid int) (time.Duration, error) {
-	// This is the clock ID that clock_getcpuclockid(3) computes for another process. /proc/PID/stat has the same time, but
-	// only with a resolution of 10 ms.
+	// clock_getcpuclockid(3) computes the clock ID of another process in this way. /proc/PID/stat has the same time,
+	// but only with a resolution of 10 ms.
 	clock := int32(^pid<<3 | cpuClockSched)
 	var used unix.Timespec
 	if err := unix.ClockGettime(clock, &used); err != nil {
@@ -28,10 +28,11 @@
 	return time.Duration(used.Nano()), nil
 }
 
-// Memory is the resident memory of a process in bytes. A value that the kernel does not report is 0.
+// Memory is the current and the peak resident memory of a process, in bytes. A value that the kernel does not report is
+// 0.
 type Memory struct {
 	Resident     int64
-	PeakResident int64 // largest value of Resident so far
+	PeakResident int64 // maximum of Resident so far
 }
 
 // ReadMemory returns the resident memory of a process. It fails if there is no such process.
@@ -47,8 +48,8 @@
 	return memory, nil
 }
 
-// statusBytes returns, in bytes, the value of a line of /proc/PID/status that is given in kB. It returns 0 if there is no
-// such line.
+// statusBytes converts the value of a line of /proc/PID/status from kB to bytes. key is the beginning of the line with
+// its colon. statusBytes returns 0 if there is no such line.
 func statusBytes(status []byte, key string) int64 {
 	_, rest, found := bytes.Cut(status, []byte("\n"+key))
 	if !found {
--- a/internal/rehearsal/soak/daemon.go
+++ b/internal/rehearsal/soak/daemon.go
@@ -17,8 +17,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 )
 
-// daemon is one dispatcher with all the processes that it has had in a run. It is safe for concurrent
-// use, but only the fault that holds its claim may start or end its process.
+// daemon is one dispatcher of a run with all its processes, which follow one another. It is safe for concurrent use,
+// but only the fault that holds its claim may start or end a process.
 type daemon struct {
 	claim
 	name    string
@@ -26,17 +26,17 @@
 	dir     string // directory of its files
 	config  daemonConfig
 	program string
-	tracer  tracer   // starts its processes so that system calls fail; nil if they are not traced
+	tracer  tracer   // starts its processes under a tracer that makes system calls fail; nil if they are not traced
 	options []string // command-line options besides the configuration
 
 	isHealthy func() bool // reports whether the dispatcher accepts clients now
 	onLaunch  func()      // called before each start of a process
 
-	timeline                         // what the run does to the dispatcher
+	timeline                         // when the run starts, kills or shuts down its processes
 	connections       connectionPool // idle connections of its clients
 	loopLateness      latenessLog    // lateness of its event loop
 	acceptLateness    latenessLog    // lateness of answers on new connections; measured only if it is traced
-	surges            atomic.Int32   // number of networkSurge faults in force
+	surges            atomic.Int32   // number of networkSurge faults that are active
 	replacements      atomic.Int32   // number of its processes that were replaced by successors
 	inheritedListener *os.File       // listener that its processes inherit; nil if each process opens its own
 
@@ -44,7 +44,7 @@
 	process    *daemonProcess    // latest process; nil if none was launched
 	logPaths   []string          // paths of the logs of all its processes
 	crashes    []string          // descriptions of its crashes
-	invariants []invariantCounts // counts of those processes that answered
+	invariants []invariantCounts // from the processes that answered fetchInvariants
 	waiters    sync.WaitGroup    // goroutines that wait for the ends of its processes
 }
 
@@ -82,8 +82,8 @@
 // traceOption makes a dispatcher log each step of each request.
 const traceOption = "-trace"
 
-// newDaemon prepares a dispatcher without starting a process. If traced is true, system calls of its processes fail by a
-// plan that follows from the seed.
+// newDaemon prepares a dispatcher without starting a process. If traced is true, system calls of its processes fail
+// according to a plan that is generated from the seed.
 func (r *run) newDaemon(number int, traced bool, seed uint64) (*daemon, error) {
 	address, err := childprocess.FreeAddress()
 	if err != nil {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// start starts a command, by the tracer if there is one.
+// start starts a command, under the tracer if there is one.
 func (d *daemon) start(command *exec.Cmd) (childprocess.Handle, error) {
 	if d.tracer != nil {
 		return d.tracer(command)
@@ -164,7 +164,7 @@
 	return childprocess.Start(command)
 }
 
-// recordEnd waits for the end of a process, and records a crash if the run has not requested the end.
+// recordEnd waits for the end of a process, and records a crash unless the run has requested the end.
 func (d *daemon) recordEnd(process *daemonProcess) {
 	<-process.Done()
 	d.mutex.Lock()
@@ -180,11 +180,11 @@
 	return string(log[max(len(log)-logTailBytes, 0):])
 }
 
-// maxTraceLines is the largest number of lines that logLinesWith returns.
+// maxTraceLines is the maximum number of lines that logLinesWith returns.
 const maxTraceLines = 30
 
-// reportedViolations returns the lines of the dispatcher's logs that report violations which it has counted, or that claim
-// that an attempt was never sent. The caller holds the lock.
+// reportedViolations returns lines of the dispatcher's logs, each indented on a new line, that report a violation of an
+// invariant or that call an attempt never sent. The caller must hold the mutex.
 func (d *daemon) reportedViolations() (lines string) {
 	for _, line := range d.logLinesWith("invariant ", " as never sent") {
 		lines += "\n    " + line
@@ -192,7 +192,8 @@
 	return lines
 }
 
-// logLinesWith returns the first lines of the dispatcher's logs that contain one of the texts. The caller holds the lock.
+// logLinesWith returns the first lines of the dispatcher's logs that contain one of the texts. The caller must
+// hold the mutex.
 func (d *daemon) logLinesWith(texts ...string) (lines []string) {
 	for _, path := range d.logPaths {
 		log, _ := os.ReadFile(path) // a log that cannot be read has no lines
@@ -283,7 +284,7 @@
 // process does not answer, for example because it is stopped or just starting.
 func (d *daemon) fetchInvariants() { d.fetchInvariantsFrom(d.adminAddress()) }
 
-// fetchInvariantsFrom does the same as fetchInvariants for the process with the given admin address.
+// fetchInvariantsFrom does the same as fetchInvariants, but for the process with the given admin address.
 func (d *daemon) fetchInvariantsFrom(adminAddress string) {
 	response, err := newHTTPClient(invariantsTimeout).Get("http://" + adminAddress + "/control/invariants")
 	if err != nil {
--- a/internal/rehearsal/soak/daemonconfig.go
+++ b/internal/rehearsal/soak/daemonconfig.go
@@ -29,7 +29,7 @@
 const (
 	shortConnectTimeout = 250 * time.Millisecond
 	longConnectTimeout  = 1200 * time.Millisecond
-	longConnectShare    = 3 // one seed in so many has the long one
+	longConnectShare    = 3 // one seed in this many has the long one
 )
 
 // Limits in the settings that the rules check.
--- a/internal/rehearsal/soak/discovery.go
+++ b/internal/rehearsal/soak/discovery.go
@@ -227,8 +227,8 @@
 }
 
 // notificationDeadline returns when a dispatcher must know of a change that was made at changedAt.
-// That is notificationTime after the change, or after the end of an outage of the service in which
-// the change falls. If another outage begins before the deadline, notificationTime counts from the
+// That is maxNotificationTime after the change, or after the end of an outage of the service in which
+// the change falls. If another outage begins before the deadline, maxNotificationTime counts from the
 // end of that outage.
 func (d *discovery) notificationDeadline(changedAt time.Time) time.Time {
 	const never = time.Hour // longer than any run
@@ -236,7 +236,7 @@
 	defer d.mutex.Unlock()
 	reachableSince := changedAt
 	for _, outage := range d.outages {
-		beginsBeforeDeadline := outage.from.After(reachableSince) && outage.from.Before(reachableSince.Add(notificationTime))
+		beginsBeforeDeadline := outage.from.After(reachableSince) && outage.from.Before(reachableSince.Add(maxNotificationTime))
 		if !outage.contains(reachableSince) && !beginsBeforeDeadline {
 			continue
 		}
@@ -245,5 +245,5 @@
 		}
 		reachableSince = outage.to
 	}
-	return reachableSince.Add(notificationTime)
+	return reachableSince.Add(maxNotificationTime)
 }
--- a/internal/rehearsal/soak/durable.go
+++ b/internal/rehearsal/soak/durable.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	durableQueues    = 2 // dispatchers with a durable queue: one is killed and restarted, the disk of the other fails
-	durableProducers = 2 // of each queue
-	durableWorkers   = 2 // of each queue
+	durableQueues    = 2 // dispatchers with a durable queue: the first is ended and restarted, the disk of the last fails
+	durableProducers = 2 // for each queue
+	durableWorkers   = 2 // for each queue
 
 	pushInterval          = 50 * time.Millisecond
 	invalidReportInterval = 15 * time.Millisecond
 	retryPause            = 20 * time.Millisecond // before a client reconnects or repeats a command
 	jobRunTime            = 2 * time.Millisecond
 
-	// noRunTimeout is how long, after the faults, no job may run although accepted jobs wait. There is no limit for the
-	// time that all of them take together: it depends on the disk, because each job takes several syncs.
+	// noRunTimeout is how long, after the faults have ended, the wait for accepted jobs continues without any run of a
+	// job. The time for all of these jobs together has no limit: it depends on the disk, because each job takes several
+	// syncs.
 	noRunTimeout = 10 * time.Second
 
-	minRestartPause = 2 * time.Second // time that a dispatcher runs before it is ended
-	maxRestartPause = 6 * time.Second
-	maxRestartTime  = time.Second // longest time until it is started again
+	minRestartPause = 2 * time.Second // minimum time that a dispatcher runs before it is ended
+	maxRestartPause = 6 * time.Second // maximum of that time
+	maxRestartTime  = time.Second     // maximum time until it is started again
 
 	durableLeaseSeconds = 1
 )
 
-// durableQueue is a dispatcher with a durable queue for renewals, and what its producers and workers observed.
+// durableQueue is a dispatcher with a durable queue for renewals, and records what its producers and workers observed.
 type durableQueue struct {
 	*daemon
 	address string // address of the Faktory front end
@@ -47,8 +48,8 @@
 	lastRun  time.Time
 }
 
-// newDurableQueue prepares a dispatcher with a durable queue. If diskFails is true, its writes and syncs of files fail by
-// tracing.
+// newDurableQueue prepares a dispatcher with a durable queue. If diskFails is true, a tracer of its system calls makes
+// some of its writes and syncs of files fail.
 func (r *run) newDurableQueue(number int, diskFails bool, seed uint64) (*durableQueue, error) {
 	daemon, err := r.newDaemon(r.config.Daemons+number, false, seed)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return &durableQueue{daemon: daemon, address: address, accepted: map[string]bool{}, runs: map[string]int{}}, nil
 }
 
-// startDurable starts the dispatchers with durable queues.
+// startDurable starts the dispatchers with durable queues, and waits until they are ready.
 func (r *run) startDurable() error {
 	random := rand.New(rand.NewPCG(r.config.Seed, durableSeedStream))
 	for number := range durableQueues {
@@ -95,26 +96,26 @@
 	return nil
 }
 
-// runDurable runs the producers, workers and faults of a queue until ctx ends. It then continues to run the workers until
-// all accepted jobs have run, or no job has run for noRunTimeout.
+// runDurable runs the producers, workers and faults of a queue until ctx ends. After that only the workers continue,
+// until all accepted jobs have run or no job has run for noRunTimeout.
 func (r *run) runDurable(ctx context.Context, number int, queue *durableQueue) {
 	random := func(stream uint64) *rand.Rand {
 		return rand.New(rand.NewPCG(r.config.Seed, durableSeedStream+uint64(number+1)*durableStreamStride+stream))
 	}
 	workersCtx, stopWorkers := context.WithCancel(context.Background())
-	var workers, others sync.WaitGroup
+	var workers, producersAndFaults sync.WaitGroup
 	for i := range uint64(durableWorkers) {
 		workers.Go(func() { queue.runWorker(workersCtx, fmt.Sprintf("w%d", i), random(i)) })
 	}
 	for i := range uint64(durableProducers) {
-		others.Go(func() { queue.runProducer(ctx, int(i), random(10+i)) })
+		producersAndFaults.Go(func() { queue.runProducer(ctx, int(i), random(10+i)) })
 	}
-	others.Go(func() { queue.runInvalidReporter(ctx, "rogue", random(20)) })
-	others.Go(func() { queue.runInvalidReporter(ctx, "", random(21)) })
+	producersAndFaults.Go(func() { queue.runInvalidReporter(ctx, "rogue", random(20)) })
+	producersAndFaults.Go(func() { queue.runInvalidReporter(ctx, "", random(21)) })
 	if queue.tracer == nil {
-		others.Go(func() { queue.restartRepeatedly(ctx, random(30)) })
+		producersAndFaults.Go(func() { queue.restartRepeatedly(ctx, random(30)) })
 	}
-	others.Wait()
+	producersAndFaults.Wait()
 	for faultsEnd := time.Now(); !queue.allAcceptedRan() && !queue.noRunSince(faultsEnd); {
 		time.Sleep(retryPause)
 	}
@@ -122,8 +123,8 @@
 	workers.Wait()
 }
 
-// restartRepeatedly ends the dispatcher by SIGKILL or by the signals of a graceful shutdown and starts it again, until ctx
-// ends.
+// restartRepeatedly ends the dispatcher by SIGKILL or by the signals of a graceful shutdown and starts it again, until
+// ctx ends.
 func (q *durableQueue) restartRepeatedly(ctx context.Context, random *rand.Rand) {
 	for sleep(ctx, minRestartPause+time.Duration(random.Int64N(int64(maxRestartPause-minRestartPause)))) {
 		if random.IntN(2) == 0 {
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// sendUntilReply sends a command on a new connection, and repeats that until it receives a reply. replied is false if ctx
+// sendUntilReply sends a command, each time on a new connection, until it receives a reply. replied is false if ctx
 // ends first.
 func (q *durableQueue) sendUntilReply(ctx context.Context, wid, command string) (reply string, replied bool) {
 	for {
@@ -168,15 +169,15 @@
 	}
 }
 
-// runProducer pushes renewals until ctx ends. For some jobs it closes the connection before the reply. It pushes the others
-// until the reply is +OK.
+// runProducer pushes renewals until ctx ends. For some of them it closes the connection without waiting for the reply.
+// It repeats the push of each other job until the reply is +OK.
 func (q *durableQueue) runProducer(ctx context.Context, producer int, random *rand.Rand) {
-	const leaveShare = 10 // one push in so many is not awaited
+	const abandonOneIn = 10 // one push in this many is sent without waiting for its reply
 	for number := 0; sleep(ctx, pushInterval); number++ {
 		jid := fmt.Sprintf("%s-p%d-%05d", q.name, producer, number)
 		q.recordPush(jid)
 		command := fmt.Sprintf(`PUSH {"jid":%q,"queue":%q,"jobtype":"x","args":[1]}`, jid, classRenewal)
-		if random.IntN(leaveShare) == 0 {
+		if random.IntN(abandonOneIn) == 0 {
 			if conn := q.connect(ctx, ""); conn != nil {
 				fmt.Fprint(conn.conn, command+"\r\n")
 				conn.close()
@@ -203,8 +204,8 @@
 // after it has fetched a job and before it starts the job, or reports a job twice.
 func (q *durableQueue) runWorker(ctx context.Context, wid string, random *rand.Rand) {
 	const (
-		leaveShare       = 20 // one job in so many is not started
-		reportTwiceShare = 10 // one of the other jobs in so many is reported twice
+		abandonOneIn     = 20 // one fetched job in this many is not started
+		reportTwiceOneIn = 10 // one started job in this many is reported twice
 	)
 	for {
 		conn := q.connect(ctx, wid)
@@ -219,16 +220,16 @@
 			if !found {
 				continue
 			}
-			if random.IntN(leaveShare) == 0 {
+			if random.IntN(abandonOneIn) == 0 {
 				break
 			}
-			q.runJob(ctx, wid, job, random.IntN(reportTwiceShare) == 0)
+			q.runJob(ctx, wid, job, random.IntN(reportTwiceOneIn) == 0)
 		}
 		conn.close()
 	}
 }
 
-// runJob asks to start a job by START. If the reply is +OK, it runs the job and reports it by ACK.
+// runJob asks by START whether it may start a job. If the reply is +OK, it runs the job and reports it by ACK.
 func (q *durableQueue) runJob(ctx context.Context, wid string, job fetchedJob, reportTwice bool) {
 	reply, replied := q.sendUntilReply(ctx, wid, "START "+job.report())
 	if !replied || reply != "+OK" {
@@ -242,8 +243,8 @@
 	}
 }
 
-// runInvalidReporter sends reports on jobs that it does not hold, until ctx ends. It does so as a worker that never fetches,
-// or as a producer if wid is empty.
+// runInvalidReporter sends reports on jobs of which it holds no lease, until ctx ends. It connects as a worker, which
+// never fetches a job, or as a producer if wid is empty.
 func (q *durableQueue) runInvalidReporter(ctx context.Context, wid string, random *rand.Rand) {
 	reports := []string{
 		`ACK {"jid":%q}`, `ACK {"jid":%q,"fence":1}`, `FAIL {"jid":%q}`, `FAIL {"jid":%q,"started":false}`,
@@ -285,7 +286,7 @@
 	q.lastRun = time.Now()
 }
 
-// recentJid draws one of the jids that were pushed last. It returns an empty string if none was pushed.
+// recentJid returns a random one of the 20 jids that were pushed last. It returns an empty string if none was pushed.
 func (q *durableQueue) recentJid(random *rand.Rand) string {
 	const recent = 20
 	q.mutex.Lock()
@@ -308,7 +309,8 @@
 	return true
 }
 
-// noRunSince reports whether no job has run for noRunTimeout, which counts from the given time at the earliest.
+// noRunSince reports whether more than noRunTimeout has passed since the last run of a job or since start, whichever is
+// later.
 func (q *durableQueue) noRunSince(start time.Time) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -336,8 +338,8 @@
 	return state
 }
 
-// violations returns a description of each job that ran more than once, and of each job that was accepted and has not run
-// unless its state is "in doubt", and the violations of the dispatcher itself.
+// violations describes the violations that the dispatcher itself has reported, each job that ran more than once, and
+// each accepted job that has not run and whose state is not "in doubt".
 func (q *durableQueue) violations() []string {
 	found := q.daemon.violations()
 	if q.askAfterRun("INFO") == "" {
@@ -355,7 +357,7 @@
 			found = append(found, fmt.Sprintf("%s: %s was accepted and has not run, though nothing else ran for %v; its state is %q", ruleLost, jid, noRunTimeout, state))
 		}
 	}
-	if waiting > 0 { // adds what can explain the cause
+	if waiting > 0 { // adds information for finding the cause
 		info := q.askAfterRun("INFO")
 		found = append([]string{fmt.Sprintf("%s has %d accepted jobs that have not run; INFO %s; its log ends %s", q.name, waiting, info, q.currentProcess().logTail())}, found...)
 	}
--- a/internal/rehearsal/soak/injection.go
+++ b/internal/rehearsal/soak/injection.go
@@ -46,7 +46,7 @@
 func (r *run) drainUnnotified(ctx context.Context, injected fault) {
 	const (
 		leadTime     = 200 * time.Millisecond // time between the beginning of the discovery faults and the drains
-		drainedShare = 3                      // one worker in so many drains
+		drainedShare = 3                      // one worker in this many drains
 	)
 	kinds := []faultKind{faultDiscoverySilent, faultDiscoveryTruncates}
 	for _, kind := range kinds {
--- a/internal/rehearsal/soak/rules.go
+++ b/internal/rehearsal/soak/rules.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Time limits of the rules. Those that the dispatchers' settings contain must match them.
+// Time limits of the rules. Those that are also in the dispatchers' settings must have the same values there.
 const (
-	notificationTime  = 6 * time.Second // time within which a dispatcher must know of a change of the list
-	drainGrace        = 500 * time.Millisecond
-	answerSlack       = 500 * time.Millisecond // an answer may come this long after the request's timeout
-	cancellationSlack = 100 * time.Millisecond // an attempt may arrive this long after its client has closed the connection
-	timeLeftSlack     = 150 * time.Millisecond // an attempt may be given this much more time than its client has left
+	maxNotificationTime = 6 * time.Second        // within this time a dispatcher must learn of a change of the endpoint list
+	drainGrace          = 500 * time.Millisecond // an attempt may arrive this long after the dispatcher must know of the drain
+	answerSlack         = 500 * time.Millisecond // an answer may come this long after the request's timeout
+	cancellationSlack   = 100 * time.Millisecond // an attempt may arrive this long after its client has closed the connection
+	timeLeftSlack       = 150 * time.Millisecond // the time left that an attempt states may exceed its client's by this much
 )
 
 // rule is the name of a rule in the descriptions of violations.
@@ -24,13 +24,13 @@
 	ruleLost      rule = "lost"      // each request is answered in time, and no attempt of it arrives after its client has left
 	ruleDuplicate rule = "duplicate" // no renewal arrives again at a worker after an attempt of it that may have run
 	ruleDrain     rule = "drain"     // no attempt arrives at a worker that the dispatcher must know to be draining or removed
-	ruleTimeLeft  rule = "time left" // no attempt is given more time than its client has left
+	ruleTimeLeft  rule = "time left" // no attempt states more time left than its client has
 	ruleWindow    rule = "window"    // no repeated attempt of a transfer arrives after the dedup window of the first one
 	ruleAttempts  rule = "attempts"  // no request has more attempts than the settings allow
 	ruleBudget    rule = "budget"    // no dispatcher makes more repeated attempts than its retry budget allows
 
-	// A violation of ruleForeign is caused by the machine and not by a dispatcher of this run: a request of another run
-	// shows nothing about this run.
+	// A violation of ruleForeign is caused by something else on the machine, not by a dispatcher of this run. A request
+	// of another run tells nothing about this run.
 	ruleForeign rule = "foreign" // only requests of this run arrive at its workers
 	ruleHarness rule = "harness" // the stand-ins can inject the faults of the schedule
 )
@@ -78,13 +78,14 @@
 	c.report.Violations = append(c.report.Violations, fmt.Sprintf("%.3f %s: %s", second, violated, description))
 }
 
-// exceeds reports whether a limit for a dispatcher is exceeded by more than the lateness that was measured between two
-// times. excess is the time beyond the limit. An excess that only this lateness allows is counted in the report.
+// exceeds reports whether excess, the time by which a limit for a dispatcher is exceeded, is more than the lateness
+// that was measured from one time to the other. A limit that is kept only because of this lateness is counted in the
+// report.
 func (c *ruleChecker) exceeds(excess time.Duration, target *daemon, from, to time.Time) bool {
 	return c.exceedsAllowed(excess, c.run.latenessBetween(target, from, to))
 }
 
-// exceedsAllowed does the same as exceeds for a given lateness.
+// exceedsAllowed does the same as exceeds, but with a given lateness.
 func (c *ruleChecker) exceedsAllowed(excess, lateness time.Duration) bool {
 	switch {
 	case excess <= 0:
@@ -120,7 +121,8 @@
 	}
 }
 
-// checkRequest checks that a request was answered in time if its client waited, unless a missing answer is excused.
+// checkRequest checks that a request whose client did not leave was answered in time, unless there is an excuse for the
+// missing answer.
 func (c *ruleChecker) checkRequest(sent *request) {
 	latest := sent.sentAt.Add(sent.timeout + answerSlack)
 	inTime := sent.status != 0 && !c.exceeds(sent.answeredAt.Sub(latest), sent.daemon, sent.sentAt, sent.answeredAt)
@@ -143,7 +145,8 @@
 	}
 }
 
-// countAnswered counts a request that was answered in time. If its status is 200, an attempt must have arrived at a worker.
+// countAnswered counts a request that was answered in time. If its status is 200, an attempt must have arrived at a
+// worker.
 func (c *ruleChecker) countAnswered(sent *request) {
 	c.report.Answered++
 	if sent.status != http.StatusOK {
@@ -166,21 +169,21 @@
 	c.addViolation(ruleLost, sent.sentAt, "%s could not connect", sent.id)
 }
 
-// checkClosed checks a request whose connection was closed without an answer. This is allowed if the dispatcher was killed
-// while the request was in flight, or if the dispatcher closed the connection before it read the request. It may close a
-// connection so only if the connection was reused, or during a flood of connections. If an attempt of the request arrived
-// at a worker, the dispatcher must have read the request.
+// checkClosed checks a request whose connection was closed without an answer. This is allowed if the dispatcher was
+// killed while the request was in flight, or if the dispatcher closed the connection before it read the request. It may
+// close a connection before it reads a request only if the connection was reused, or during a flood of connections. If
+// an attempt of the request arrived at a worker, the dispatcher must have read the request.
 func (c *ruleChecker) checkClosed(sent *request) {
-	cutOff, killedAfterTerm := sent.daemon.killedAfterTerm(sent.sentAt, sent.closedAt)
-	mayCross := sent.reusedConnection || sent.daemon.wasFlooded(sent.sentAt, sent.closedAt)
+	killedShutdown, killedAfterTerm := sent.daemon.killedAfterTerm(sent.sentAt, sent.closedAt)
+	mayCloseUnread := sent.reusedConnection || sent.daemon.wasFlooded(sent.sentAt, sent.closedAt)
 	switch {
 	case sent.daemon.wasKilled(sent.sentAt, sent.closedAt):
 		c.excuse(excuseKilledInFlight)
 	case killedAfterTerm:
-		c.addViolation(ruleLost, sent.sentAt, "%s came %v after SIGTERM and was unanswered at the kill", sent.id, sent.sentAt.Sub(cutOff.terminatedAt))
+		c.addViolation(ruleLost, sent.sentAt, "%s came %v after SIGTERM and was unanswered at the kill", sent.id, sent.sentAt.Sub(killedShutdown.terminatedAt))
 	case c.arrived[sent.id]:
 		c.addViolation(ruleLost, sent.sentAt, "%s came to a worker, and its connection was closed with no answer", sent.id)
-	case !mayCross:
+	case !mayCloseUnread:
 		c.addViolation(ruleLost, sent.sentAt, "%s was closed with no answer, on a new connection", sent.id)
 	case sent.resent:
 		c.addViolation(ruleLost, sent.sentAt, "%s was closed with no answer for the second time", sent.id)
@@ -210,7 +213,7 @@
 	}
 }
 
-// checkRepeat checks an attempt against the earlier attempts of its request.
+// checkRepeat checks that an attempt is allowed after the earlier attempts of its request.
 func (c *ruleChecker) checkRepeat(sent *request, earlier []attempt, arrived attempt) {
 	mayHaveRun := slices.IndexFunc(earlier, func(one attempt) bool { return !one.neverRan })
 	if len(earlier) >= maxAttempts {
@@ -233,7 +236,7 @@
 	}
 }
 
-// traceOf returns the lines that a request's dispatcher has logged about it, for the description of a violation.
+// traceOf returns lines that a request's dispatcher has logged about the request, for the description of a violation.
 func (c *ruleChecker) traceOf(sent *request) string {
 	if sent == nil {
 		return ""
@@ -241,8 +244,9 @@
 	return "\n    " + strings.Join(sent.daemon.traceOf(sent.id), "\n    ")
 }
 
-// checkAttempt checks that an attempt was allowed to arrive when it did. Only ruleDrain is checked if the dispatcher was
-// stopped in the meantime, or if the worker read the attempt late, since it may then have arrived earlier.
+// checkAttempt checks that an attempt was allowed to arrive when it did. Only ruleDrain is checked if the dispatcher
+// was stopped between the request and the attempt, or if the worker read the attempt late, since the attempt may then
+// have arrived earlier.
 func (c *ruleChecker) checkAttempt(sent *request, arrived attempt) {
 	c.checkDrain(sent, arrived)
 	wasStopped := sent.daemon.wasStopped(sent.sentAt, arrived.arrivedAt)
@@ -265,9 +269,10 @@
 	}
 }
 
-// cancellationLateness returns by how much an attempt that arrives after its client has left may exceed cancellationSlack.
-// The lateness of the dispatcher does not count, because right before it sends an attempt it asks the kernel whether the
-// client has left. It does count for a traced dispatcher, whose system calls between the question and the send are slow.
+// cancellationLateness returns by how much an attempt that arrives after its client has left may exceed
+// cancellationSlack. The lateness of the dispatcher does not count, because right before it sends an attempt it asks
+// the kernel whether the client has left. It does count for a traced dispatcher, whose system calls between the
+// question and the send are slow.
 func (c *ruleChecker) cancellationLateness(sent *request, arrived attempt) time.Duration {
 	if sent.daemon.tracer != nil {
 		return c.run.latenessBetween(sent.daemon, sent.clientLeftAt, arrived.arrivedAt)
@@ -275,9 +280,9 @@
 	return c.run.timerLateness.largestBetween(sent.clientLeftAt, arrived.arrivedAt) + measurementInterval
 }
 
-// checkDrain checks that the worker of an attempt was listed as ready, or that the dispatcher did not have to know yet that
-// it was not. The dispatcher has to know once it was notified, or the notification deadline of the change has passed, and
-// drainGrace after that.
+// checkDrain checks that the worker of an attempt was listed as ready, or that the dispatcher did not yet have to know
+// that it was not. The dispatcher must know drainGrace after it was notified, and at the latest drainGrace after the
+// notification deadline of the change.
 func (c *ruleChecker) checkDrain(sent *request, arrived attempt) {
 	dispatcher := sent.daemon
 	notifiedAt, wasNotified := c.run.discovery.notifiedUnlistedSince(dispatcher.name, arrived.worker, arrived.arrivedAt)
--- a/internal/rehearsal/soak/shutdown.go
+++ b/internal/rehearsal/soak/shutdown.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// killAfterTerm is the shortest time after a SIGTERM at which the process may be killed: the longest deadline of a
-	// class, or 3 s if that is longer, and 0.7 s.
+	// killAfterTerm is the shortest time after a SIGTERM at which the process may be killed: the longest deadline of
+	// any class, but at least 3 s, plus 0.7 s. The longest deadline is renewalTimeout, which is more than 3 s.
 	killAfterTerm = renewalTimeout + readAfterTerm
 
-	// readAfterTerm is the time after a SIGTERM in which requests that arrive must still receive their final answers.
+	// readAfterTerm is how long after a SIGTERM a request may arrive and must still receive its final answer.
 	readAfterTerm = 700 * time.Millisecond
 
-	// After a SIGTERM, clients continue to open connections for a time between these.
+	// Limits of the time for which clients continue to open connections after a SIGTERM.
 	minNewConnectionTime = 200 * time.Millisecond
 	maxNewConnectionTime = 400 * time.Millisecond
 
-	maxSignals     = 5                      // largest number of signals in a series
-	maxSignalPause = 400 * time.Millisecond // longest pause before a signal
+	maxSignals     = 5                      // maximum number of signals in a series
+	maxSignalPause = 400 * time.Millisecond // maximum pause before a signal
 )
 
-// signalSeries is a series of SIGHUP and SIGTERM.
+// signalSeries is a series of SIGHUP and SIGTERM signals that are sent to one process.
 type signalSeries struct {
-	count    int
-	signals  [maxSignals]syscall.Signal
-	pauses   [maxSignals]time.Duration // pause before each signal
-	newConns time.Duration             // how long clients continue to open connections after the first SIGTERM
+	count             int
+	signals           [maxSignals]syscall.Signal
+	pauses            [maxSignals]time.Duration // pause before each signal
+	newConnectionsFor time.Duration             // how long clients continue to open connections after the first SIGTERM
 }
 
-// drawSignals draws a series. It contains a SIGTERM if terminates is true, and only SIGHUP otherwise.
+// drawSignals returns a random series. It contains at least one SIGTERM if terminates is true, and only SIGHUP
+// otherwise.
 func drawSignals(terminates bool, random *rand.Rand) (series signalSeries) {
 	series.count = 1 + random.IntN(maxSignals)
-	series.newConns = minNewConnectionTime + time.Duration(random.Int64N(int64(maxNewConnectionTime-minNewConnectionTime)))
+	series.newConnectionsFor = minNewConnectionTime + time.Duration(random.Int64N(int64(maxNewConnectionTime-minNewConnectionTime)))
 	for i := range series.count {
 		series.signals[i] = syscall.SIGHUP
 		if terminates && random.IntN(2) == 0 {
@@ -67,8 +68,8 @@
 	}
 }
 
-// terminate ends the current process as a planned restart does: by a series of signals, and by SIGKILL if it has not ended
-// killAfterTerm after the first SIGTERM.
+// terminate ends the current process as a planned restart does: it sends a series of signals, and SIGKILL if the
+// process is still running killAfterTerm after the first SIGTERM. The series must contain a SIGTERM.
 func (d *daemon) terminate(series signalSeries) {
 	d.mutex.Lock()
 	process := d.process
@@ -77,7 +78,7 @@
 	d.fetchInvariants()
 	var deadline time.Time
 	series.send(process, func() {
-		d.recordTerm(series.newConns)
+		d.recordTerm(series.newConnectionsFor)
 		deadline = time.Now().Add(killAfterTerm)
 	})
 	select {
@@ -89,8 +90,8 @@
 	}
 }
 
-// checkEnd checks how a process ended after a SIGTERM. It records a crash unless the process has exited with status 0, or
-// was traced and exited by itself.
+// checkEnd checks how a process ended after a SIGTERM. It records a crash unless the process exited with status 0, or
+// was traced and not ended by a signal: the outcome of a traced process that has exited does not contain its status.
 func (d *daemon) checkEnd(process *daemonProcess) {
 	outcome := process.Outcome()
 	if outcome != "exit status 0" && !strings.HasSuffix(outcome, "exit status") {
@@ -98,8 +99,9 @@
 	}
 }
 
-// restart ends a dispatcher's process by a series of signals and starts a new one after a time, unless another fault has
-// claimed the dispatcher. Depending on the fault, some workers hang, or the discovery service is down, in the meantime.
+// restart ends a dispatcher's process by a series of signals and starts a new one after the duration of the fault,
+// unless another fault has claimed the dispatcher. Depending on the fault, a third of the workers hang, or the
+// discovery service is down, in the meantime.
 func (r *run) restart(ctx context.Context, injected fault) {
 	target := r.daemons[injected.target]
 	if !target.tryClaim() {
@@ -120,7 +122,7 @@
 	target.launchAndAwait()
 }
 
-// reload sends a dispatcher a series of SIGHUP, unless another fault has claimed the dispatcher.
+// reload sends a dispatcher the fault's series of SIGHUP signals, unless another fault has claimed the dispatcher.
 func (r *run) reload(injected fault) {
 	target := r.daemons[injected.target]
 	if !target.tryClaim() {
--- a/internal/rehearsal/soak/soak.go
+++ b/internal/rehearsal/soak/soak.go
@@ -32,7 +32,7 @@
 	defaultWorkers  = 12
 	defaultDuration = 30 * time.Second
 	defaultRate     = 6
-	tracedShare     = 8 // by default, one dispatcher in so many is traced
+	tracedShare     = 8 // by default, one dispatcher in this many is traced
 )
 
 // setDefaults replaces zero values by the defaults.
--- a/internal/rehearsal/soak/workerconnection.go
+++ b/internal/rehearsal/soak/workerconnection.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// progressInterval is the interval at which a worker reports the progress of a running job. It must match the dispatchers'
-// settings.
+// progressInterval is the interval at which a worker reports the progress of a running job. It must match the
+// dispatchers' settings.
 const progressInterval = time.Second
 
 // workerConnection is a dispatcher's connection to a worker.
 type workerConnection struct {
 	worker *worker
 	conn   net.Conn
-	number int // number of the connection at the worker
+	number int // number of the connection among those to the worker
 	input  *bufio.Reader
 
-	acceptedLate bool // the first attempt may have arrived long before it is read
+	acceptedLate bool // the next attempt is the first, and may have arrived long before it is read
 
-	// While a request is served, another goroutine waits for more input from the dispatcher or the end of the connection.
-	nextInput  chan struct{} // closed when either has arrived
+	// While a request is served, another goroutine waits until the dispatcher sends more or ends the connection.
+	nextInput  chan struct{} // closed when either has happened
 	peerClosed bool          // the connection has ended; valid once nextInput is closed
 }
 
-// serve serves a connection until it ends. acceptedLate tells that the first request may have arrived long before it is
-// read.
+// serve serves a connection until it ends. acceptedLate tells whether the first request may have arrived long before it
+// is read.
 func (w *worker) serve(conn net.Conn, acceptedLate bool) {
 	c := &workerConnection{
 		worker:       w,
@@ -45,7 +45,8 @@
 	}
 }
 
-// serveNext serves the next request. It returns false if the connection has ended.
+// serveNext serves the next request: a GET is a health check, and any other request is an attempt. It returns false if
+// the connection has ended.
 func (c *workerConnection) serveNext() bool {
 	request, err := http.ReadRequest(c.input)
 	if err != nil {
@@ -69,8 +70,8 @@
 	fmt.Fprintf(c.conn, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(load), load)
 }
 
-// serveAttempt reads the body of an attempt, records the attempt and answers it. It returns false if the connection has
-// ended.
+// serveAttempt reads the body of an attempt, records the attempt and answers it, or injects the fault of its plan. It
+// returns false if the connection has ended.
 func (c *workerConnection) serveAttempt(request *http.Request) bool {
 	records := &c.worker.run.records
 	arrived := c.attemptOf(request)
@@ -108,7 +109,7 @@
 	return open && c.awaitNextRequest(plan)
 }
 
-// attemptOf returns the attempt that a request contains.
+// attemptOf returns the attempt that a request's path and header fields describe.
 func (c *workerConnection) attemptOf(request *http.Request) attempt {
 	class, _, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
 	timeLeftMs, _ := strconv.Atoi(request.Header.Get(timeLeftHeader))
@@ -122,7 +123,7 @@
 	}
 }
 
-// refuse rejects the attempt, with additional header lines.
+// refuse rejects the attempt as not run. headerLines are added to the header of the response.
 func (c *workerConnection) refuse(headerLines string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nX-Backend-Load: %s\r\n%sContent-Length: 0\r\n\r\n",
 		strings.TrimSpace(c.worker.loadReport()), headerLines)
@@ -134,8 +135,8 @@
 	return fmt.Sprintf(`{"inflight":%d,"queue":%d}`+"\n", running, waiting)
 }
 
-// execute waits for a slot for an admitted job, runs the job and answers the request. It returns false if the connection
-// has ended.
+// execute waits for a slot for an admitted job, runs the job and answers the request, unless the fault of the plan
+// prevents that. It returns false if the connection has ended.
 func (c *workerConnection) execute(id string, plan jobPlan) bool {
 	hasSlot := c.acquireSlot()
 	c.worker.stopWaiting()
@@ -168,7 +169,7 @@
 	return c.finish(id, plan)
 }
 
-// finish sends the end of the response to a job that has run. It returns false if the connection has ended.
+// finish sends the end of the response about a job that has run. It returns false if the connection has ended.
 func (c *workerConnection) finish(id string, plan jobPlan) bool {
 	done := c.chunk(id, "done", 1)
 	switch plan.fault {
@@ -199,8 +200,8 @@
 	}
 }
 
-// runJob waits for the run time of a job and reports its progress. It returns false if the dispatcher ends the connection,
-// or sends more, first.
+// runJob waits for the run time of a job and reports its progress. It returns false if the dispatcher ends the
+// connection, or sends more, first.
 func (c *workerConnection) runJob(id string, duration time.Duration) bool {
 	for left := duration; left > 0; left -= progressInterval {
 		select {
@@ -215,13 +216,14 @@
 	return true
 }
 
-// chunk returns the chunk of a response that reports the state of a job.
+// chunk returns an encoded chunk of a response that reports the state of a job. share is the share of the job that is
+// done.
 func (c *workerConnection) chunk(id, state string, share float64) string {
 	return encodeChunk(fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"share":%.2f,"result":"r","load":%s}`+"\n",
 		id, c.worker.name, state, share, strings.TrimSpace(c.worker.loadReport())))
 }
 
-// startReadingNext starts a goroutine that waits for more input from the dispatcher or the end of the connection.
+// startReadingNext starts a goroutine that closes nextInput when the dispatcher sends more or ends the connection.
 func (c *workerConnection) startReadingNext() {
 	next := make(chan struct{})
 	c.nextInput = next
@@ -232,8 +234,8 @@
 	}()
 }
 
-// awaitNextRequest waits, after a response, until the next request arrives. It returns false if the connection has ended,
-// either by the dispatcher or by a fault of the plan.
+// awaitNextRequest waits, after a response, until the next request arrives. It returns false if the connection has been
+// ended by the dispatcher or by a fault of the plan.
 func (c *workerConnection) awaitNextRequest(plan jobPlan) bool {
 	switch plan.fault {
 	case closeAfterResponse:
@@ -252,7 +254,7 @@
 	return !c.peerClosed
 }
 
-// breakConnection closes or resets the connection because of a fault, and returns false.
+// breakConnection closes the connection because of a fault, or resets it if the plan says so. It returns false.
 func (c *workerConnection) breakConnection(plan jobPlan) (open bool) {
 	c.worker.run.records.recordFault()
 	if plan.reset {
