--- a/cmd/dispatcher/jobs_golden_test.go
+++ b/cmd/dispatcher/jobs_golden_test.go
@@ -10,11 +10,12 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// leaseEnd matches the due time of a leased job. When the store is opened, this is set to a
-// grace time from now, so it differs between runs.
+// leaseEnd matches the time at which the lease of a leased or started job ends. Opening the
+// store sets it to the current time plus a grace time, so it differs between runs.
 var leaseEnd = regexp.MustCompile(`("state": ?"(?:leased|started)".*?"due": ?)"[^"]*"`)
 
-// On a store file of an earlier build, the commands print what the golden files have.
+// For a store file that an earlier build has written, the output of each jobs command equals
+// its golden file. A snapshot of the store passes verify.
 func TestGoldenJobsCommands(t *testing.T) {
 	store := goldentest.Unpack(t, filepath.Join("../../internal/durable/testdata", "jobs-schema-1.db.gz"))
 	for name, args := range map[string][]string{
@@ -35,11 +36,11 @@
 	snapshot := filepath.Join(filepath.Dir(store), "copy.db")
 	output := runJobs(t, store, "snapshot", "copy.db") + runJobs(t, snapshot, "verify")
 	if want := snapshot + ": 34 records, all whole\n"; output != want {
-		t.Errorf("%q, want %q", output, want)
+		t.Errorf("snapshot and verify: %q, want %q", output, want)
 	}
 }
 
-// runJobs runs a command on a store file, and returns its output.
+// runJobs runs a subcommand of jobs on a store file, and returns its output.
 func runJobs(t *testing.T, store string, args ...string) string {
 	t.Helper()
 	commandLine := append([]string{"jobs", "--store", store}, args...)
--- a/cmd/dispatcher/killrun_test.go
+++ b/cmd/dispatcher/killrun_test.go
@@ -15,16 +15,16 @@
 	"time"
 )
 
-// killOptions are the parameters of a run of the kill test.
+// killOptions are the parameters of runKills.
 type killOptions struct {
-	guarantee  string  // guarantee of the workers
-	pauseShare float64 // share of the jobs before which a worker pauses
+	guarantee  string  // what the workers guarantee about non-idempotent jobs
+	pauseShare float64 // fraction of the jobs before which a worker pauses
 	seed       uint64
 	maxKills   int
 	renewals   int // minimum number of renewals that are pushed
 }
 
-// killReport is the result of a run.
+// killReport is the result of runKills.
 type killReport struct {
 	kills           int
 	jobs            int
@@ -32,14 +32,15 @@
 	done            int
 	dead            int
 	inDoubt         int
-	inDoubtRan      int // jobs in doubt that ran
+	inDoubtRan      int // runs of jobs in doubt
 	ranTwice        int
 	neverRan        int
-	notLinearizable int // histories that are not linearizable
+	notLinearizable int // jobs whose histories are not linearizable
 	faults          []string
 }
 
-// maxReportedHistories is how many histories that are not linearizable are reported in full.
+// maxReportedHistories is the maximum number of non-linearizable histories that a report
+// contains in full.
 const maxReportedHistories = 3
 
 const (
@@ -48,7 +49,8 @@
 	killLease     = 0.3 // seconds
 )
 
-// killRun is a dispatcher and its workers, which are killed at seeded moments.
+// killRun runs a dispatcher and its workers, and kills them at random moments that follow from
+// a seed.
 type killRun struct {
 	t       *testing.T
 	dir     string
@@ -63,13 +65,13 @@
 	producers sync.WaitGroup
 	killsOver chan struct{}
 
-	mu         sync.Mutex // protects nextNumber and history while producers run
+	mu         sync.Mutex // guards nextNumber and history while producers run
 	nextNumber int        // number of the next job
 	history    []historyCall
 }
 
-// runKills pushes and runs jobs until there have been enough kills and renewals, and checks
-// the result.
+// runKills pushes and runs jobs until there have been maxKills kills and enough renewals have
+// been pushed. It then waits until all jobs have ended, and checks their runs and histories.
 func runKills(t *testing.T, options killOptions) killReport {
 	t.Helper()
 	run := &killRun{
@@ -106,8 +108,8 @@
 
 func (r *killRun) startDispatcher() { r.dispatcher = startDurable(r.t, builtProgram, r.dir) }
 
-// startWorker starts a worker process, which is the test binary with the variables that make
-// TestMain run a worker.
+// startWorker starts worker process i. It runs the test binary with environment variables
+// that make TestMain run a worker.
 func (r *killRun) startWorker(i int) {
 	r.t.Helper()
 	r.startedWorkers++
@@ -136,15 +138,15 @@
 	}
 }
 
-// kill kills a process and counts the kill.
+// kill kills a process, waits for its end, and counts the kill.
 func (r *killRun) kill(process *exec.Cmd) {
 	process.Process.Signal(syscall.SIGKILL)
 	process.Wait()
 	r.report.kills++
 }
 
-// killAndRestart kills the dispatcher, a worker or both after a random time, and starts them
-// again.
+// killAndRestart kills the dispatcher, a worker or both after a random time, and starts what
+// it killed again.
 func (r *killRun) killAndRestart() {
 	time.Sleep(time.Duration(20+r.random.IntN(100)) * time.Millisecond)
 	worker := r.random.IntN(killWorkers)
@@ -164,8 +166,8 @@
 	}
 }
 
-// produce pushes jobs until there are no more kills and enough renewals. client is the
-// producer's number in the history.
+// produce pushes jobs until the kills are over and enough renewals have been pushed. client
+// is the number that identifies the producer in the history.
 func (r *killRun) produce(client int) {
 	defer r.producers.Done()
 	var conn *faktoryClient
@@ -179,7 +181,7 @@
 	}
 }
 
-// takeNumber returns the number of the next job, each number once.
+// takeNumber returns the number of the next job. It returns each number only once.
 func (r *killRun) takeNumber() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,8 +206,8 @@
 	}
 }
 
-// push pushes a job until it is accepted, on new connections if need be. It returns the
-// connection that is open at the end.
+// push pushes a job repeatedly until it is accepted. It dials a new connection if conn is nil
+// or has failed, and returns the connection that is open at the end.
 func (r *killRun) push(conn *faktoryClient, client int, jid string, number int) *faktoryClient {
 	for {
 		if conn == nil {
@@ -232,7 +234,8 @@
 	}
 }
 
-// pushedIDs returns the sorted ids of all jobs that were pushed, and counts them.
+// pushedIDs returns the sorted ids of all jobs that were pushed, and records their number in
+// the report.
 func (r *killRun) pushedIDs() []string {
 	var ids []string
 	for _, call := range r.history {
@@ -244,7 +247,8 @@
 	return ids
 }
 
-// finalStates waits until each job has ended, and returns their states by id.
+// finalStates waits until each job has succeeded, is in doubt or is dead, and returns the
+// states by id.
 func (r *killRun) finalStates(ids []string) map[string]string {
 	r.t.Helper()
 	conn, err := dialFaktory(r.dir, map[string]any{})
@@ -259,7 +263,8 @@
 	return states
 }
 
-// finalState waits until a job has ended, and returns its state.
+// finalState waits until a job has succeeded, is in doubt or is dead, and returns its state.
+// It fails the test if that is not the case at the deadline.
 func (r *killRun) finalState(conn *faktoryClient, id string, deadline time.Time) string {
 	r.t.Helper()
 	for {
@@ -281,7 +286,7 @@
 	}
 }
 
-// runs returns how often each job ran, according to the ledger and the result files.
+// runs returns the number of runs of each job according to the ledger and the result files.
 func (r *killRun) runs() map[string]int {
 	runs := map[string]int{}
 	ledger, _ := os.ReadFile(filepath.Join(r.dir, ledgerFile))
@@ -321,7 +326,7 @@
 	}
 }
 
-// checkHistories counts the jobs whose calls are not linearizable.
+// checkHistories counts the jobs whose histories of calls are not linearizable.
 func (r *killRun) checkHistories(ids []string) {
 	r.t.Helper()
 	history := r.history
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -33,11 +33,12 @@
 	}
 }
 
-// goldenIDs are request ids that are sent in one message.
+// goldenIDs are the request ids of the last message in the golden file.
 var goldenIDs = []uint64{1, 0x0123456789abcdef, 1<<64 - 1}
 
-// Messages of all kinds are written exactly as in the golden file, and the golden file is
-// read back as the same messages, since the peer process may be of an older or newer build.
+// Messages of all kinds are encoded exactly as in the golden file, and the golden file is
+// decoded to the same messages. The process at the other end of a link may be of an older
+// or newer build.
 func TestGoldenMessages(t *testing.T) {
 	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
 	conn, link := peer.connect(t)
@@ -67,35 +68,36 @@
 	}
 	for i, want := range goldenMessages() {
 		if got := receiveValue(t, peer.received); !reflect.DeepEqual(got, want) {
-			t.Errorf("message %d is read as %+v, want %+v", i, got, want)
+			t.Errorf("message %d decoded as %+v, want %+v", i, got, want)
 		}
 	}
 	last := receiveValue(t, peer.received)
 	if ids, err := last.ReadIDs(); err != nil || !reflect.DeepEqual(ids, goldenIDs) {
-		t.Errorf("ids %x, %v", ids, err)
+		t.Errorf("decoded ids %x, error %v", ids, err)
 	}
 }
 
-// Unknown keys, which a newer build may send, are ignored.
+// A message with a key that this build does not know, as a newer build may send it, is
+// decoded without that key.
 func TestGoldenUnknownKeys(t *testing.T) {
 	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
 	conn, _ := peer.connect(t)
 	defer conn.Close()
-	fmt.Fprintln(conn, `{"a_key_to_come":{"x":1},"ready":true}`)
+	fmt.Fprintln(conn, `{"key_of_newer_build":{"x":1},"ready":true}`)
 	if got := receiveValue(t, peer.received); !reflect.DeepEqual(got, Message{Ready: true}) {
-		t.Errorf("read as %+v", got)
+		t.Errorf("decoded as %+v, want only Ready", got)
 	}
 }
 
-// The name of the socket file must not change, so that older and newer builds find each
-// other.
+// The name of the socket file must not change, because older and newer builds find each
+// other by it.
 func TestGoldenSocketPath(t *testing.T) {
 	for dispatcher, want := range map[string]string{
 		"n0 127.0.0.1:80": "/run/d/hollyyoke-abebc10f165f0118.sock",
 		"hollyyoke :7001": "/run/d/hollyyoke-18253651ac8179a5.sock",
 	} {
 		if got := SocketPath("/run/d", dispatcher); got != want {
-			t.Errorf("%q has its socket at %q, want %q", dispatcher, got, want)
+			t.Errorf("socket path of dispatcher %q: %q, want %q", dispatcher, got, want)
 		}
 	}
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -22,11 +22,12 @@
 	return nil
 }
 
-// Errors are a single line and name the key. Unlike the others, errors of the decoder do not begin with the path.
+// Each error is a single line that names the key. Errors for unknown keys and of Check begin with the path of the file,
+// and those of the TOML decoder do not.
 func TestErrors(t *testing.T) {
 	for _, test := range []struct {
 		text string
-		want string // text of the error, with PATH in place of the file's path; empty if there must be no error
+		want string // error text, in which PATH stands for the path of the file; empty if no error is expected
 	}{
 		{"count = 1\n[inner]\nname = \"a\"", ""},
 		{"[inner]\nother = 1", "PATH: inner.other: unknown key"},
@@ -43,16 +44,16 @@
 		}
 		want := strings.Replace(test.want, "PATH", path, 1)
 		if got != want {
-			t.Errorf("%q: %q, want %q", test.text, got, want)
+			t.Errorf("error for %q: %q, want %q", test.text, got, want)
 		}
 	}
 }
 
-// For a file that does not exist, the error is os.ErrNotExist.
+// For a file that does not exist, the error wraps os.ErrNotExist.
 func TestMissing(t *testing.T) {
 	err := ReadChecked(filepath.Join(t.TempDir(), "none"), &table{})
 	if !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v, want %v", err, os.ErrNotExist)
+		t.Errorf("error %v, want %v", err, os.ErrNotExist)
 	}
 }
 
@@ -61,6 +62,6 @@
 	err := Decode([]byte("x = 1"), &table{})
 	var unknown *UnknownKeyError
 	if !errors.As(err, &unknown) || unknown.Key != "x" {
-		t.Errorf("%v, want an UnknownKeyError for x", err)
+		t.Errorf("error %v, want an UnknownKeyError for x", err)
 	}
 }
