--- a/internal/rehearsal/soak/discovery.go
+++ b/internal/rehearsal/soak/discovery.go
@@ -27,7 +27,8 @@
 	BornUnixMs int64   `json:"born_ms"`
 }
 
-// endpointList is a line of the discovery protocol: a complete endpoint list or the changes of one.
+// endpointList is a line of the discovery protocol. It contains a complete endpoint list or the changes since an
+// earlier version of the list.
 type endpointList struct {
 	Endpoints []endpoint `json:"hosts"`
 	Version   int64      `json:"seq"`
@@ -40,15 +41,15 @@
 	health    health
 }
 
-// discovery is the stand-in for the discovery service. It serves watches that begin at a version, and
-// has faults that can be switched on. It is safe for concurrent use.
+// discovery is the stand-in for the discovery service. It serves watches, which receive the changes since a version of
+// the list, and injects faults. It is safe for concurrent use.
 type discovery struct {
 	mutex     sync.Mutex
-	version   int64                     // of the list
+	version   int64                     // current version of the list
 	endpoints map[string]endpoint       // by worker
-	changedIn map[string]int64          // by worker, the version of the list in which it changed last
+	changedIn map[string]int64          // by worker, the version of the list with its latest change
 	history   map[string][]healthChange // by worker, in the order of their times
-	faults    [faultKinds]int           // number of faults in force, by kind
+	faults    [faultKinds]int           // number of active faults, by kind
 	outages   []interval                // times during which the service was down
 	changed   chan struct{}             // closed and replaced at each change of the list or the faults
 
@@ -56,7 +57,7 @@
 	notified  map[string]map[string][]healthChange // by dispatcher and worker, the changes that were sent to the dispatcher
 }
 
-// startDiscovery returns a service that lists no workers. It listens on no address until listenFor is called.
+// startDiscovery returns a service that lists no workers yet. It does not listen until listenFor is called.
 func startDiscovery() (*discovery, error) {
 	return &discovery{
 		endpoints: map[string]endpoint{},
@@ -73,8 +74,8 @@
 	}
 }
 
-// listenFor opens a listener for one dispatcher and returns its address. Each dispatcher has a listener of its own, so that
-// the service knows to which dispatcher it sends a list.
+// listenFor opens a listener for one dispatcher and returns its address. Each dispatcher has a listener of its own, so
+// that the service knows to which dispatcher it sends a list.
 func (d *discovery) listenFor(dispatcher string) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,9 +86,9 @@
 	return listener.Addr().String(), nil
 }
 
-// recordNotification records that a list was sent to a dispatcher. A worker that a complete list does not contain counts as
-// gone. A ready worker counts as notified when the write begins, since the dispatcher may use it from then on. Any other
-// worker counts as notified when the write ends, since the dispatcher must stop using it only then.
+// recordNotification records that a list was sent to a dispatcher. A worker that a complete list does not contain
+// counts as gone. A ready worker counts as notified when the write begins, since the dispatcher may use it from then
+// on. Any other worker counts as notified when the write ends, since the dispatcher must stop using it only then.
 func (d *discovery) recordNotification(dispatcher string, list endpointList, writing interval) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -111,8 +112,8 @@
 	}
 }
 
-// resetNotifications records that a new process of a dispatcher starts, to which no list was sent yet. It marks all workers
-// as ready, so that the new process does not have to know of earlier changes.
+// resetNotifications records that a new process of a dispatcher starts, to which no list has been sent yet. It marks
+// all workers as ready, so that earlier notifications do not count for the new process.
 func (d *discovery) resetNotifications(dispatcher string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -121,7 +122,7 @@
 	}
 }
 
-// addNotification adds a change to those that were sent to a dispatcher. The caller holds the lock.
+// addNotification adds a change to those that were sent to a dispatcher. The caller must hold the mutex.
 func (d *discovery) addNotification(dispatcher, worker string, change healthChange) {
 	if d.notified[dispatcher] == nil {
 		d.notified[dispatcher] = map[string][]healthChange{}
@@ -129,15 +130,15 @@
 	d.notified[dispatcher][worker] = append(d.notified[dispatcher][worker], change)
 }
 
-// notifiedUnlistedSince returns when a dispatcher was notified that a worker is not ready. unlisted is false if, at the
+// notifiedNotReadySince returns when a dispatcher was notified that a worker is not ready. notReady is false if, at the
 // given time, the last notification about the worker was that it is ready, or there was none.
-func (d *discovery) notifiedUnlistedSince(dispatcher, worker string, at time.Time) (since time.Time, unlisted bool) {
+func (d *discovery) notifiedNotReadySince(dispatcher, worker string, at time.Time) (since time.Time, notReady bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return unlistedIn(d.notified[dispatcher][worker], at)
+	return notReadyIn(d.notified[dispatcher][worker], at)
 }
 
-// set changes how a worker is listed.
+// set sets the address and health with which a worker is listed, and notifies the watches.
 func (d *discovery) set(worker, address string, newHealth health) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -148,13 +149,13 @@
 	d.wakeWatches()
 }
 
-// wakeWatches makes all watches check the state of the service again. The caller holds the lock.
+// wakeWatches makes all watches check the state of the service again. The caller must hold the mutex.
 func (d *discovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// beginFault begins a fault of the service. Several faults, also of the same kind, can be in force at a time.
+// beginFault begins a fault of the service. Several faults, also of the same kind, can be active at the same time.
 func (d *discovery) beginFault(kind faultKind) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -165,7 +166,7 @@
 	d.wakeWatches()
 }
 
-// endFault ends one fault that beginFault has begun.
+// endFault ends one fault of the given kind, which beginFault has begun.
 func (d *discovery) endFault(kind faultKind) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -183,13 +184,14 @@
 	return d.encodeSince(0)
 }
 
-// encodeSince returns the result of listSince as JSON. The caller holds the lock.
+// encodeSince returns the result of listSince as JSON. The caller must hold the mutex.
 func (d *discovery) encodeSince(version int64) []byte {
-	text, _ := json.Marshal(d.listSince(version)) // cannot fail for strings and numbers
+	text, _ := json.Marshal(d.listSince(version)) // cannot fail, because the list has only strings, numbers and booleans
 	return text
 }
 
-// listSince returns the changes after a version, or the complete list if the version is 0. The caller holds the lock.
+// listSince returns the changes after a version, or the complete list if the version is 0. The caller must hold the
+// mutex.
 func (d *discovery) listSince(version int64) endpointList {
 	list := endpointList{Endpoints: []endpoint{}, Version: d.version, Complete: version == 0}
 	for worker, changedIn := range d.changedIn {
@@ -201,29 +203,29 @@
 	return list
 }
 
-// unlistedSince returns since when a worker has not been listed as ready, as of the given time.
-// unlisted is false if the worker was listed as ready then.
-func (d *discovery) unlistedSince(worker string, at time.Time) (since time.Time, unlisted bool) {
+// notReadySince returns since when a worker has not been listed as ready, as of the given time.
+// notReady is false if the worker was listed as ready then.
+func (d *discovery) notReadySince(worker string, at time.Time) (since time.Time, notReady bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return unlistedIn(d.history[worker], at)
+	return notReadyIn(d.history[worker], at)
 }
 
-// unlistedIn returns since when a worker has not been ready as of the given time, according to the changes of its health.
-// unlisted is false if the worker was ready then.
-func unlistedIn(changes []healthChange, at time.Time) (since time.Time, unlisted bool) {
+// notReadyIn returns since when a worker has not been ready as of the given time, according to the changes of its
+// health. notReady is false if the worker was ready then.
+func notReadyIn(changes []healthChange, at time.Time) (since time.Time, notReady bool) {
 	for _, change := range changes {
 		switch {
 		case change.changedAt.After(at):
-			return since, unlisted
+			return since, notReady
 		case change.health == healthReady:
-			unlisted = false
-		case !unlisted:
+			notReady = false
+		case !notReady:
 			since = change.changedAt
-			unlisted = true
+			notReady = true
 		}
 	}
-	return since, unlisted
+	return since, notReady
 }
 
 // notificationDeadline returns when a dispatcher must know of a change that was made at changedAt.
--- a/internal/rehearsal/soak/rules.go
+++ b/internal/rehearsal/soak/rules.go
@@ -285,7 +285,7 @@
 // notification deadline of the change.
 func (c *ruleChecker) checkDrain(sent *request, arrived attempt) {
 	dispatcher := sent.daemon
-	notifiedAt, wasNotified := c.run.discovery.notifiedUnlistedSince(dispatcher.name, arrived.worker, arrived.arrivedAt)
+	notifiedAt, wasNotified := c.run.discovery.notifiedNotReadySince(dispatcher.name, arrived.worker, arrived.arrivedAt)
 	// A predecessor and its successor are notified separately. The records do not distinguish these notifications.
 	checkNotified := !arrived.readLate && dispatcher.inheritedListener == nil
 	if wasNotified && checkNotified && !dispatcher.wasStopped(notifiedAt, arrived.arrivedAt) {
@@ -296,8 +296,8 @@
 			return
 		}
 	}
-	since, unlisted := c.run.discovery.unlistedSince(arrived.worker, arrived.arrivedAt)
-	if !unlisted {
+	since, notReady := c.run.discovery.notReadySince(arrived.worker, arrived.arrivedAt)
+	if !notReady {
 		return
 	}
 	due := c.run.discovery.notificationDeadline(since)
--- a/internal/rehearsal/soak/soak.go
+++ b/internal/rehearsal/soak/soak.go
@@ -1,8 +1,7 @@
-// Package soak runs a few dozen dispatcher processes on loopback, with stand-ins for the discovery
-// service, the workers and the clients, under random faults that overlap. It checks rules against
-// what the stand-ins observed. The violations that a dispatcher counts itself are added; its counters
-// never excuse a violation. A seed determines the schedule of the faults. All processes are children
-// of this process and end with the run.
+// Package soak runs a few dozen dispatcher processes on loopback, with stand-ins for the discovery service, the workers
+// and the clients, under random faults that overlap. It checks the records of what the stand-ins observed against
+// rules. The violations that a dispatcher counts itself are added to the report; its counters never excuse a violation.
+// A seed determines the schedule of the faults. All processes are children of this process and end with the run.
 package soak
 
 import (
@@ -66,11 +65,12 @@
 
 const startTimeout = 30 * time.Second
 
-// run is one soak. Its fields are set before the clients and faults start. Only records and timerLateness change after that.
+// run is one soak. After the clients and faults have started, only records and timerLateness change; all other fields
+// are set before.
 type run struct {
 	config        Config
 	dir           string // directory for the dispatchers' files
-	idPrefix      string // prefix of the IDs of its requests, different for each run
+	idPrefix      string // prefix of the IDs of its requests; differs between runs
 	start         time.Time
 	discovery     *discovery
 	workers       []*worker
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// prepareDaemons prepares the dispatchers, each with its own seed. The first ones are traced.
+// prepareDaemons prepares the dispatchers, each with its own seed. The first TracedDaemons ones are traced.
 func (r *run) prepareDaemons() error {
 	random := rand.New(rand.NewPCG(r.config.Seed, daemonSeedStream))
 	for i := range r.config.Daemons {
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// launchDaemons starts the processes of all dispatchers concurrently, and returns the error of the first dispatcher that
-// has one.
+// launchDaemons starts the processes of all dispatchers concurrently. It returns the first error in the order of the
+// dispatchers.
 func (r *run) launchDaemons() error {
 	var launches sync.WaitGroup
 	errs := make([]error, len(r.daemons))
--- a/internal/rehearsal/soak/worker.go
+++ b/internal/rehearsal/soak/worker.go
@@ -18,8 +18,8 @@
 	receiveBufferBytes = 4 << 10
 )
 
-// worker is the stand-in for a worker. It executes requests even while it is listed as draining or gone. The records show
-// later whether the dispatcher was allowed to send them. A worker is safe for concurrent use.
+// worker is the stand-in for a worker. It executes requests even while it is listed as draining or gone. The records
+// are checked later for whether the dispatcher was allowed to send them. A worker is safe for concurrent use.
 type worker struct {
 	claim
 	name    string
@@ -33,8 +33,8 @@
 	connections   map[net.Conn]bool
 	accepted      int           // number of connections accepted so far
 	waiting       int           // number of jobs that wait for a slot
-	draining      bool          // whether health checks find the worker draining
-	hangsUntil    time.Time     // time before which the worker does not answer
+	draining      bool          // whether the worker answers health checks with 503
+	hangsUntil    time.Time     // the worker answers nothing before this time
 	acceptAllowed chan struct{} // closed while accepting connections is not suspended
 	resumedAt     time.Time     // end of the last suspension
 }
@@ -70,17 +70,18 @@
 	return nil
 }
 
-// shrinkReceiveBuffer sets a small receive buffer for the connections of a listener, so that the dispatcher must send a
-// large request in parts while the worker does not read.
+// shrinkReceiveBuffer sets a small receive buffer for the connections of a listener, so that the dispatcher can send
+// only a part of a large request while the worker does not read.
 func shrinkReceiveBuffer(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferBytes)
+		setErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferBytes)
 	})
-	return cmp.Or(err, failed)
+	return cmp.Or(err, setErr)
 }
 
-// acceptConnections accepts connections until the listener is closed. While accepting is suspended, it serves none.
+// acceptConnections accepts and serves connections until the listener is closed. While accepting is suspended, it
+// serves no further connections.
 func (w *worker) acceptConnections(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -91,7 +92,7 @@
 		acceptAllowed := w.acceptAllowed
 		w.mutex.Unlock()
 		<-acceptAllowed
-		go w.serve(conn, w.resumedRecently())
+		go w.serve(conn, w.mayHaveWaited())
 	}
 }
 
@@ -120,7 +121,7 @@
 	}
 }
 
-// refuse refuses connections for the given time.
+// refuse stops listening for the given time, so that connections are refused.
 func (w *worker) refuse(duration time.Duration) error {
 	w.stopListening()
 	time.Sleep(duration)
@@ -131,15 +132,15 @@
 	noBacklog      = 0
 	defaultBacklog = 4096
 
-	maxFillers    = 8 // largest number of connections that are opened to fill a listener's queue
+	maxFillers    = 8 // maximum number of connections that are opened to fill a listener's queue
 	fillerTimeout = 50 * time.Millisecond
 
 	// queuedAcceptTime is longer than it takes to accept the connections that wait in a listener's queue.
 	queuedAcceptTime = 200 * time.Millisecond
 )
 
-// suspendAccept makes the kernel answer no connects until resume is called, by filling the listener's queue. A connect that
-// begins in the meantime succeeds when the peer's kernel repeats it, 1 s after its first try.
+// suspendAccept fills the listener's queue, so that the kernel does not answer attempts to connect until resume is
+// called. An attempt that begins in the meantime succeeds when the peer's kernel repeats it, 1 s after the first try.
 func (w *worker) suspendAccept() (resume func()) {
 	acceptAllowed := make(chan struct{})
 	w.mutex.Lock()
@@ -166,7 +167,7 @@
 	}
 }
 
-// setBacklog sets how many connections can wait in the kernel to be accepted. The caller holds the lock.
+// setBacklog sets how many connections can wait in the kernel to be accepted. The caller must hold the mutex.
 func (w *worker) setBacklog(backlog int) {
 	if w.listener == nil {
 		return
@@ -184,23 +185,24 @@
 	w.draining = draining
 }
 
-// hang delays all answers until the given time has passed.
+// hang delays all answers until the duration has passed.
 func (w *worker) hang(duration time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.hangsUntil = time.Now().Add(duration)
 }
 
-// state returns whether the worker is draining, and how long it will not answer. hang is not positive if it answers now.
+// state returns whether the worker is draining, and for how long it does not answer. If it answers now, hang is zero or
+// negative.
 func (w *worker) state() (draining bool, hang time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.draining, time.Until(w.hangsUntil)
 }
 
-// resumedRecently reports whether a connection that is accepted now may have waited in the queue since before the end of a
-// suspension.
-func (w *worker) resumedRecently() bool {
+// mayHaveWaited reports whether a connection that is accepted now may have waited in the queue since before the end of
+// a suspension.
+func (w *worker) mayHaveWaited() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return time.Since(w.resumedAt) < queuedAcceptTime
@@ -221,7 +223,7 @@
 	delete(w.connections, conn)
 }
 
-// admit counts a job as waiting for a slot. It returns false if too many jobs wait already.
+// admit counts a job as waiting for a slot. It returns false if workerQueue jobs are waiting already.
 func (w *worker) admit() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
