--- a/internal/faktory/jobpayload.go
+++ b/internal/faktory/jobpayload.go
@@ -20,26 +20,28 @@
 	minJidLength = 8
 	maxJidLength = 256
 
-	// maxCustomDuration bounds the durations in a job's custom object, in nanoseconds, so
-	// that converting them from floating point to a time.Duration does not
-	// overflow.
+	// maxCustomDuration is the maximum, in nanoseconds, of a duration in a job's
+	// custom object. It prevents an overflow when the duration is converted from
+	// floating point to a time.Duration.
 	maxCustomDuration = 1e12
 
 	// maxScheduledSeconds is the latest Unix time of a schedule, in seconds: the
 	// largest one whose nanoseconds fit an int64, rounded down.
 	maxScheduledSeconds = 9_000_000_000
 
-	// maxRetries bounds a durable job's retry field.
+	// maxRetries is the maximum of a durable job's retry field.
 	maxRetries = 1000
 
-	// maxLease bounds a durable job's reserve_for and the extensions of its lease.
+	// maxLease limits a durable job's reserve_for and the extensions of its lease.
 	maxLease = 24 * time.Hour
 
-	// maxReserveSeconds bounds reserve_for, so that it fits a time.Duration.
+	// maxReserveSeconds limits reserve_for before it is converted, so that it fits a
+	// time.Duration.
 	maxReserveSeconds = 1e9
 )
 
-// Errors of a job's JSON. Their texts are sent to producers and upstream.
+// Errors in a job's JSON. Their texts are sent to producers and to the upstream
+// server.
 var (
 	errScheduledOnDirectQueue = errors.New("at: its queue is direct, and keeps no jobs for later")
 	errInvalidJid             = errors.New("jid: 8 to 256 characters without spaces are needed")
@@ -119,13 +121,13 @@
 	return job, nil
 }
 
-// isValidJid reports whether a job can have this id.
+// isValidJid reports whether jid has a permitted length and only graphic ASCII
+// characters.
 func isValidJid(jid string) bool {
 	return len(jid) >= minJidLength && len(jid) <= maxJidLength && hasOnlyGraphicASCII(jid)
 }
 
-// class returns the index of the class that has the name of the job's queue or
-// type.
+// class returns the index of the class that the job's queue, its type or both name.
 func (w *work) class(classes map[string]int) (int, error) {
 	byQueue, queueKnown := classes[w.Queue]
 	byType, typeKnown := classes[w.Jobtype]
@@ -157,9 +159,9 @@
 	return time.Duration(time.Unix(seconds, int64(when.Nanosecond())).UnixNano()), nil
 }
 
-// encodeJob returns the JSON of a job for a request of another front end. The args
-// are the request's key and body. A body that is not UTF-8 is sent as base64, and
-// the custom object says so.
+// encodeJob returns the JSON of a job for a request that came through another front
+// end. The args are the request's key and body. A body that is not valid UTF-8 is
+// encoded as base64, and the custom object then has the field encoding.
 func encodeJob(request *dispatch.Request, class string) []byte {
 	body := string(request.Body)
 	var custom map[string]string
@@ -177,7 +179,8 @@
 	return raw
 }
 
-// withFence adds the fence of a lease to the custom object of a job's JSON.
+// withFence returns a job's JSON with the fence of its lease added to the custom
+// object.
 func withFence(raw []byte, fence uint64) []byte {
 	var job map[string]json.RawMessage
 	err := json.Unmarshal(raw, &job)
@@ -218,9 +221,9 @@
 	return stored
 }
 
-// hash covers the class, type and args of a job. Two jobs with one jid are the
-// same if these are equal; other fields, such as times, may differ between a PUSH
-// and its repetition.
+// hash returns a hash of the class, type and args of a job. Two PUSHes with the same
+// jid are of the same job if these are equal; other fields, such as times, may differ
+// between a PUSH and its repetition.
 func (w *work) hash(class string) uint64 {
 	digest := xxhash.New()
 	digest.WriteString(class + "\x00" + w.Jobtype)
--- a/internal/faktory/lane.go
+++ b/internal/faktory/lane.go
@@ -14,9 +14,9 @@
 const (
 	connectTimeout = 2 * time.Second
 	replyTimeout   = 5 * time.Second
-	fetchTimeout   = 10 * time.Second // a server may wait 2 s before it answers a FETCH
+	fetchTimeout   = 10 * time.Second // a server may wait 2 s before it replies to FETCH
 	beatInterval   = 15 * time.Second // as the protocol requires of workers
-	drainInterval  = time.Second      // between checks of a lane that no longer fetches
+	drainInterval  = time.Second      // between checks of an idle lane that no longer fetches
 	minBackoff     = 250 * time.Millisecond
 	maxBackoff     = 5 * time.Second
 )
@@ -38,7 +38,7 @@
 //	laneIdle -> laneFetching -> laneIdle                                 there is no job
 //	laneIdle -> laneFetching -> laneWorking -> laneClosing -> laneIdle   a job runs
 //	laneIdle -> laneFetching -> laneClosing -> laneIdle                  a job cannot be accepted
-//	laneIdle -> laneWorking or laneClosing     its delivery is from before a reconnection
+//	laneIdle -> laneWorking or laneClosing     its delivery began before a reconnection
 //	laneIdle -> laneBeating -> laneIdle        the heartbeat lane
 //	any state -> laneDown                      reconnect or shutdown
 type laneState uint8
@@ -46,12 +46,12 @@
 const (
 	laneDown             laneState = iota // not connected
 	laneAwaitingGreeting                  // waits for HI
-	laneAwaitingHello                     // waits for the answer to HELLO
-	laneIdle                              // waits for no answer, so it may send
-	laneFetching                          // waits for the answer to FETCH
+	laneAwaitingHello                     // waits for the reply to HELLO
+	laneIdle                              // waits for no reply, so it may send a command
+	laneFetching                          // waits for the reply to FETCH
 	laneWorking                           // waits for the final result of its job
-	laneClosing                           // waits for the answer to ACK or FAIL
-	laneBeating                           // waits for the answer to BEAT
+	laneClosing                           // waits for the reply to ACK or FAIL
+	laneBeating                           // waits for the reply to BEAT
 )
 
 // isAuthenticated reports whether HELLO has been accepted in this state.
@@ -65,13 +65,13 @@
 // as long as its source and reconnects, after a backoff, when
 //
 //   - the connection ends or cannot be opened,
-//   - an answer does not come in time,
-//   - upstream breaks the protocol, rejects HELLO, or answers FETCH by an error.
+//   - a reply does not arrive in time,
+//   - upstream violates the protocol, rejects HELLO, or replies to FETCH with an error.
 //
 // The delivery of a lane is kept while the lane reconnects: the job continues, and
-// is closed by ACK or FAIL once the lane is connected again. A lane that waits for
-// no answer sends its next command (advance): the ACK or FAIL of its delivery, or
-// else FETCH.
+// is reported by ACK or FAIL once the lane is connected again. A lane that waits for
+// no reply sends its next command (see advance): the ACK or FAIL of its delivery if
+// there is one, and otherwise FETCH.
 type lane struct {
 	source      *Source
 	number      int
@@ -81,12 +81,12 @@
 	deadline    eventloop.Deadline // see onDeadline
 	backoff     time.Duration      // before the latest reconnection; 0 after a HELLO was accepted
 	generation  int                // counts connections, so that the result of an outdated dial is ignored
-	writeOffset int64              // of the connection after the latest command
+	writeOffset int64              // position in the connection's output after the latest command
 	delivery    upstreamDelivery
 }
 
-// busy reports whether the lane has a delivery that is not closed yet, or is
-// fetching one.
+// busy reports whether the lane has a delivery that is not reported completely yet,
+// or is fetching one.
 func (l *lane) busy() bool {
 	return l.delivery.state != noDelivery || l.state == laneFetching || l.state == laneClosing
 }
@@ -126,7 +126,7 @@
 	l.generation++
 }
 
-// setDeadline makes the loop call onDeadline after a span of time.
+// setDeadline makes the loop call onDeadline after the given time.
 func (l *lane) setDeadline(span time.Duration) {
 	loop := l.source.dispatcher.Loop
 	loop.Set(&l.deadline, loop.Now()+span)
@@ -161,8 +161,8 @@
 	}
 }
 
-// onDeadline is called at the end of a backoff, of the pause of an idle lane, or of
-// the time to wait for an answer.
+// onDeadline is called when a backoff, the drainInterval of an idle lane, or the
+// time to wait for a reply has passed.
 func (l *lane) onDeadline() {
 	switch l.state {
 	case laneDown:
@@ -202,7 +202,7 @@
 	}
 }
 
-// send sends a command and sets the state in which the lane waits for its answer.
+// send sends a command and sets the state in which the lane waits for the reply.
 func (l *lane) send(next laneState, line string, timeout time.Duration) {
 	l.state = next
 	l.setDeadline(timeout)
@@ -210,7 +210,8 @@
 	l.writeOffset = l.conn.WriteOffset()
 }
 
-// advance sends the next command of a lane that waits for no answer.
+// advance sends the next command of a lane that waits for no reply. It sends none
+// while the job of the lane runs or the source drains.
 func (l *lane) advance() {
 	l.state = laneIdle
 	switch {
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	idsBatchDelay = 10 * time.Millisecond // request ids accepted within this time are sent together
-	maxIDsPerLine = 2000                  // so that a line fits into one buffer of the peer
+	idsBatchDelay = 10 * time.Millisecond // ids of requests accepted within this time are sent together
+	maxIDsPerLine = 2000                  // with this limit a line fits into one buffer of the peer
 
 	// maxLineBytes limits the length of a line, and so the memory that it takes. An endpoint
 	// list takes some 250 bytes for each worker.
@@ -54,7 +54,8 @@
 	l.conn.Write(append(text, '\n'))
 }
 
-// SendAccepted sends a hashed request id within idsBatchDelay, together with others.
+// SendAccepted sends the hashed id of an accepted request within idsBatchDelay, together with
+// others.
 func (l *Link) SendAccepted(id uint64) {
 	if len(l.ids) == 0 {
 		l.engine.Loop.Set(&l.idsTimer, l.engine.Loop.Now()+idsBatchDelay)
@@ -62,7 +63,7 @@
 	l.ids = binary.LittleEndian.AppendUint64(l.ids, id)
 }
 
-// SendIDs sends hashed request ids at once.
+// SendIDs sends hashed request ids without delay, together with those that still wait.
 func (l *Link) SendIDs(ids []uint64) {
 	for _, id := range ids {
 		l.SendAccepted(id)
@@ -86,7 +87,7 @@
 }
 
 // release clears the timer, the buffers and the callbacks of the link. onMessage and onLost
-// are not called after it.
+// are not called afterwards.
 func (l *Link) release() {
 	l.engine.Loop.Clear(&l.idsTimer)
 	l.input = nil
@@ -110,7 +111,7 @@
 	onLost()
 }
 
-// OnData handles all messages that are complete. It owns b.
+// OnData handles all messages that are complete. It takes ownership of b.
 func (l *Link) OnData(_ *transport.Conn, b *transport.Buffer) {
 	l.input = append(l.input, b.Bytes()...)
 	l.engine.Pool.Put(b)
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -27,8 +27,8 @@
 	return value
 }
 
-// testPeer has the part of a predecessor, which listens for a successor. The test has the
-// part of the successor.
+// testPeer acts as a predecessor, which listens for a successor. The test acts as the
+// successor.
 type testPeer struct {
 	loop     *eventloop.Loop
 	engine   *transport.Engine
@@ -90,8 +90,8 @@
 	return conn, receiveValue(t, p.links)
 }
 
-// All request ids arrive, even if they need several lines. Text that does not encode ids is
-// rejected.
+// All request ids arrive in order, even if they take several lines. ReadIDs rejects text that
+// does not encode ids.
 func TestRequestIDs(t *testing.T) {
 	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
 	conn, link := peer.connect(t)
@@ -123,7 +123,7 @@
 	}
 	for _, bad := range []string{"x", "AAAA"} {
 		if _, err := (&Message{IDs: bad}).ReadIDs(); !errors.Is(err, ErrInvalidIDs) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("error for the ids %q: %v", bad, err)
 		}
 	}
 }
@@ -147,9 +147,9 @@
 	}
 }
 
-// fuzzStep is a step of FuzzLink. The lower three bits are the index of a message; the index
-// after the last message stands for a line that is not JSON. The upper five bits say where
-// the line is split. If the highest bit is set, there is a pause between the two parts.
+// fuzzStep encodes a step of FuzzLink. The lower three bits are the index of a message; the
+// index after the last message stands for a line that is not JSON. The upper five bits encode
+// where the line is split. If the highest bit is set, there is a pause between the two parts.
 type fuzzStep byte
 
 func (s fuzzStep) message() int { return int(s % 8) }
@@ -169,7 +169,8 @@
 }
 
 // FuzzLink checks that a link receives each message once and in order, wherever its bytes
-// are split. A line that is not JSON ends the link, as the end of the peer process does.
+// are split, and that onLost is called after a line that is not JSON and after the peer has
+// closed the connection.
 func FuzzLink(f *testing.F) {
 	const maxSteps = 40
 	f.Add([]byte{0, 17, 34, 51, 68, 85, 200})
@@ -197,12 +198,13 @@
 		conn.Close()
 		receiveValue(t, peer.lost)
 		if more := len(peer.received); more > 0 {
-			t.Fatalf("%d messages more than the %d sent", more, sent)
+			t.Fatalf("received %d messages more than the %d that were sent", more, sent)
 		}
 	})
 }
 
-// Bytes that cannot become a message end the link before the end of their line.
+// Bytes that cannot be the beginning of a message end the link even before their line is
+// complete.
 func TestInvalidLineEndsTheLink(t *testing.T) {
 	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
 	conn, _ := peer.connect(t)
