--- a/cmd/dispatcher/daemon_test.go
+++ b/cmd/dispatcher/daemon_test.go
@@ -84,8 +84,8 @@
 	return strings.ReplaceAll(settingsText, "CONN_IDLE", strconv.FormatInt(limit.Microseconds(), 10))
 }
 
-// testDaemon is a process of the program, with its configuration, its stand-ins for
-// workers and discovery, and a client.
+// testDaemon runs the program, with its configuration, stand-ins for the workers and the
+// discovery service, and an HTTP client.
 type testDaemon struct {
 	t         *testing.T
 	workers   []*testWorker  // those added before start are in the initial endpoint list
@@ -94,21 +94,21 @@
 	// How the process is started.
 	program        string         // path of the program; if empty, builtProgram
 	listen         string         // address for clients; if empty, start chooses one
-	config         map[string]any // keys that override those of defaultConfig; after start, all keys
+	config         map[string]any // before start, the keys that override defaultConfig; after start, the whole configuration
 	configPath     string         // path of the configuration file
 	env            []string       // variables in addition to those of environment
 	inheritedFiles []*os.File     // inherited descriptors, from number 3 on
 	skipReadyWait  bool           // start does not wait until /healthz responds with 200
 	startProcess   func()         // if not nil, starts cmd in place of cmd.Start
 
-	// The running process.
+	// The latest process.
 	cmd    *exec.Cmd
-	traced *faultinject.Process // the running process, if faults are injected into its system calls
+	traced *faultinject.Process // the latest process if faults are injected into its system calls, otherwise nil
 	log    childprocess.Output
 	client *http.Client
 }
 
-// start starts the program and waits until it is ready.
+// start writes the configuration, starts the program and waits until it is ready.
 func (d *testDaemon) start(args ...string) {
 	d.t.Helper()
 	if d.discovery == nil {
@@ -164,7 +164,7 @@
 			}
 		}
 		if time.Now().After(end) {
-			d.t.Fatalf("the program is not healthy in time: %v, %v", response, err)
+			d.t.Fatalf("the program did not become healthy in time: response %v, error %v", response, err)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 	case <-time.After(testTimeout):
 		d.cmd.Process.Signal(syscall.SIGQUIT) // makes the program log the stacks of all goroutines
 		<-ended
-		d.t.Fatal("the program does not end")
+		d.t.Fatal("the program did not end in time")
 	}
 	return d.cmd.ProcessState.ExitCode()
 }
@@ -255,12 +255,12 @@
 	d.t.Helper()
 	for end := time.Now().Add(testTimeout); !d.hasLogged(text); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			d.t.Fatalf("the program does not log %q", text)
+			d.t.Fatalf("the program did not log %q in time", text)
 		}
 	}
 }
 
-// waitUntil waits until a condition holds.
+// waitUntil waits until a condition holds. what describes the condition for the failure text.
 func (d *testDaemon) waitUntil(what string, holds func() bool) {
 	d.t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
@@ -280,7 +280,7 @@
 	return len(descriptors)
 }
 
-// unusedAddress returns an address for a daemon to listen on.
+// unusedAddress returns an address that no process listens on.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	address, err := childprocess.FreeAddress()
@@ -312,7 +312,7 @@
 	}
 }
 
-// writeFile writes a file that a test needs, and returns its path.
+// writeFile writes text to a file in a directory, and returns the path of the file.
 func writeFile(t *testing.T, directory, name, text string) string {
 	t.Helper()
 	path := filepath.Join(directory, name)
--- a/cmd/dispatcher/jobs.go
+++ b/cmd/dispatcher/jobs.go
@@ -85,7 +85,7 @@
 	ran    bool // for resolveJob: whether the job ran
 }
 
-// jobsFilter says which jobs are listed, and whether with their payloads.
+// jobsFilter selects the jobs to list, and whether to list them with their payloads.
 type jobsFilter struct {
 	state       string // empty for all states
 	class       string // empty for all classes
@@ -94,15 +94,15 @@
 
 // jobsBackend gives the commands access to jobs: through a store file or through the admin API.
 type jobsBackend interface {
-	// page lists a page of the jobs that were accepted after the one with sequence number after. next is the sequence
-	// number after which the next page begins, or 0 if there are no more jobs.
+	// page lists the first jobs whose sequence numbers are greater than after, in the order in which they were accepted.
+	// next is the sequence number after which the next page begins, or 0 if there are no more jobs.
 	page(filter jobsFilter, after uint64) (list []durable.View, next uint64, err error)
 	show(id string) (durable.View, error)
 	change(change jobChange) error
 	snapshot(name string) error
 }
 
-// run runs one of the commands.
+// run runs the command with the given name.
 func (c *jobsCmd) run(verb jobsVerb, out io.Writer) error {
 	if (c.Store == "") == (c.AdminAddress == "") {
 		return errors.New("jobs: either --store or --door is needed")
@@ -122,7 +122,7 @@
 	return c.runOnBackend(storeFile{offline, c.Store}, verb, out)
 }
 
-// runOnStore runs the commands that need the store file of a stopped dispatcher.
+// runOnStore runs a command that needs the store file of a stopped dispatcher.
 func (c *jobsCmd) runOnStore(verb jobsVerb, out io.Writer) error {
 	if c.Store == "" {
 		return fmt.Errorf("jobs: %s needs --store: the file of a stopped dispatcher", verb)
@@ -137,7 +137,7 @@
 	}
 }
 
-// runOnBackend runs the commands that work on either backend.
+// runOnBackend runs a command that works with either backend.
 func (c *jobsCmd) runOnBackend(backend jobsBackend, verb jobsVerb, out io.Writer) error {
 	switch verb {
 	case verbList:
--- a/cmd/dispatcher/killworker_test.go
+++ b/cmd/dispatcher/killworker_test.go
@@ -14,28 +14,29 @@
 const (
 	killWorkerDirectory  = "KILL_WORKER" // directory of the kill test; if set, TestMain runs a worker
 	killWorkerID         = "KILL_WID"
-	killWorkerGuarantee  = "KILL_PROMISE"
+	killWorkerGuarantee  = "KILL_GUARANTEE"
 	killWorkerSeed       = "KILL_SEED"
-	killWorkerPauseShare = "KILL_SLOW"
+	killWorkerPauseShare = "KILL_PAUSE_SHARE"
 )
 
-// What a worker of the kill test guarantees, as the label that it sends in HELLO.
+// What a worker of the kill test guarantees. Each value is the label that the worker sends in
+// HELLO.
 const (
 	guaranteeNone       = ""             // it has no label
-	guaranteeFences     = "fences:1"     // it reports the start, and runs a job only if the start is granted
+	guaranteeFences     = "fences:1"     // it sends START, and runs a job only if the reply is +OK
 	guaranteeIdempotent = "idempotent:1" // a job that runs twice has the effect of one run
 )
 
 // Files of a kill test's directory.
 const (
-	ledgerFile       = "ledger"   // a line for each run of a job
-	resultsDirectory = "results"  // a file for each job that an idempotent worker ran
-	historyPrefix    = "history-" // the calls of a worker; the worker's id follows
+	ledgerFile       = "ledger"   // has a line for each run of a job on a worker that is not idempotent
+	resultsDirectory = "results"  // has a file for each job that an idempotent worker has run
+	historyPrefix    = "history-" // has the calls of a worker; the worker's id follows the prefix
 )
 
 const (
 	redialPause = 3 * time.Millisecond // before a client connects again
-	maxDials    = 1000                 // attempts to connect and send a command, until it is answered
+	maxDials    = 1000                 // maximum number of attempts to send a command until a reply arrives
 )
 
 // killWorker is a worker process of the kill test.
@@ -43,16 +44,16 @@
 	dir        string
 	id         string
 	guarantee  string
-	pauseShare float64 // share of the jobs before which the worker pauses
+	pauseShare float64 // fraction of the jobs before which the worker pauses
 	ledger     *os.File
 	history    *os.File
 }
 
-// killSlots is how many jobs a worker runs at the same time.
+// killSlots is the number of jobs that a worker runs at the same time.
 const killSlots = 2
 
-// runKillWorker runs a worker that is configured by the environment. The worker writes the
-// jobs that it ran to the ledger, and its calls to its own history file. It does not return.
+// runKillWorker runs a worker that is configured by environment variables. The worker records
+// its runs of jobs with recordRun, and its calls in its own history file. It does not return.
 func runKillWorker() {
 	seed, _ := strconv.ParseUint(os.Getenv(killWorkerSeed), 10, 64)
 	pauseShare, _ := strconv.ParseFloat(os.Getenv(killWorkerPauseShare), 64)
@@ -83,7 +84,7 @@
 	return file
 }
 
-// record appends a call to the history.
+// record appends a call to the worker's history file.
 func (w *killWorker) record(call historyCall) {
 	text, _ := json.Marshal(call)
 	w.history.Write(append(text, '\n'))
@@ -92,12 +93,12 @@
 // killSlot is a slot of a worker, which runs one job at a time.
 type killSlot struct {
 	*killWorker
-	client int // number of the slot in the history
+	client int // number that identifies the slot in the history
 	random *rand.Rand
 	conn   *faktoryClient // nil if not connected
 }
 
-// run leases and runs jobs without end.
+// run leases and runs jobs until the process is killed.
 func (s *killSlot) run() {
 	for {
 		s.runJob()
@@ -167,9 +168,9 @@
 	}
 }
 
-// call repeats a command until it is answered, also after restarts of the dispatcher. A FETCH
-// is not repeated after an error. All calls except FETCH are recorded at their beginning and
-// at their end.
+// call sends a command until a reply arrives, also across restarts of the dispatcher. A FETCH
+// is not repeated after an error. Each call except FETCH is recorded when it begins, and again
+// when its reply has arrived.
 func (s *killSlot) call(kind callKind, job leasedJob, command string) (reply string, answered bool) {
 	isLease := kind == callLease
 	for range maxDials {
@@ -200,8 +201,8 @@
 	return "", false
 }
 
-// connect connects to the dispatcher unless the slot is connected, and reports whether it is
-// connected then.
+// connect connects the slot to the dispatcher if it is not connected. It returns false if that
+// fails.
 func (s *killSlot) connect() bool {
 	if s.conn != nil {
 		return true
