--- a/internal/rehearsal/soak/clients.go
+++ b/internal/rehearsal/soak/clients.go
@@ -22,24 +22,24 @@
 	transferTimeout    = 3 * time.Second
 )
 
-// Headers of the requests to a dispatcher and of its attempts at workers.
+// Header fields of the requests to a dispatcher and of the attempts that it sends to workers.
 const (
 	correlationHeader = "X-Correlation-Id"
 	timeLeftHeader    = "X-Time-Left-Ms"
 )
 
-// Each share is the average number of requests or clients of which one has the property.
+// A share of n means that one in n requests or clients, on average, has the property.
 const (
 	renewalShare        = 3           // one request in renewalShare is a renewal
 	transferShare       = 4           // one of the other requests in transferShare is a transfer
 	newConnectionShare  = 4           // one request in newConnectionShare is sent on a new connection
 	earlyCloseShare     = 5           // one client in earlyCloseShare closes its connection early
-	maxEarlyCloseTime   = time.Second // longest time after sending at which such a client closes it
+	maxEarlyCloseTime   = time.Second // maximum time from sending until such a client closes it
 	extraBytesShare     = 2           // one such client in extraBytesShare writes more bytes after its request
-	manyExtraBytesShare = 2           // one of these in manyExtraBytesShare writes up to maxExtraBytes,
-	maxExtraBytes       = 250_000     // and the others as many as the beginning of a request has
+	manyExtraBytesShare = 2           // one of these in manyExtraBytesShare writes up to maxExtraBytes bytes,
+	maxExtraBytes       = 250_000     // and the others write as many as the beginning of a request has
 	largeBodyShare      = 50          // one request in largeBodyShare has a large body
-	keyCount            = 20          // number of keys that the requests use
+	keyCount            = 20          // number of different keys in the requests
 	dialTimeout         = time.Second
 
 	// extraAnswerWait is how much longer clients wait than the rules allow, so that a late answer is reported as late
@@ -51,17 +51,17 @@
 type clientPlan struct {
 	request       request
 	newConnection bool          // the client opens a connection even if an idle one exists
-	closeAfter    time.Duration // time after sending at which the client closes the connection; 0 if it waits for the answer
+	closeAfter    time.Duration // time from sending until the client closes the connection; 0 if it waits for the answer
 }
 
 // largeBodyBytes is the size of a large body. It is within the protocol's limit and exceeds receiveBufferBytes.
 const largeBodyBytes = 48 << 10
 
-// shutdownRateFactor multiplies the rate of requests while a dispatcher shuts down.
+// shutdownRateFactor is the factor by which the rate of requests is higher while a dispatcher shuts down.
 const shutdownRateFactor = 10
 
-// sendRequests sends requests to one dispatcher at random intervals, independently of its answers, until ctx ends. It then
-// waits for all answers.
+// sendRequests sends requests to one dispatcher at random intervals, independently of its answers, until ctx ends. It
+// then waits for all answers.
 func (r *run) sendRequests(ctx context.Context, target *daemon, random *rand.Rand) {
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -82,8 +82,8 @@
 	}
 }
 
-// drawClientPlan draws the class, the key and the size of a request, whether it is sent on a new connection, and whether
-// its client closes the connection early.
+// drawClientPlan chooses at random the class, key and size of a request, whether it is sent on a new connection, and
+// whether its client closes the connection early.
 func drawClientPlan(id string, target *daemon, random *rand.Rand) clientPlan {
 	plan := clientPlan{request: request{id: id, class: classStatusCheck, daemon: target, timeout: statusCheckTimeout}}
 	if random.IntN(renewalShare) == 0 {
@@ -106,7 +106,7 @@
 }
 
 // runClient sends a request and records it. If the connection was closed without an answer, runClient sends the request
-// once more, with an ID of its own on a new connection, because the dispatcher may have closed the connection before the
+// once more, with another ID and on a new connection, because the dispatcher may have closed the connection before the
 // request arrived.
 func (r *run) runClient(plan clientPlan) {
 	sent, attempted := plan.execute()
@@ -126,8 +126,8 @@
 	r.runClient(again)
 }
 
-// execute sends the request and returns it with what the client observed. attempted is false if the request was not sent
-// because there is no idle connection and the dispatcher accepts no new ones.
+// execute sends the request and returns it with what the client observed. attempted is false if the request was not
+// sent because there is no idle connection and the dispatcher accepts no new ones.
 func (p *clientPlan) execute() (sent request, attempted bool) {
 	sent = p.request
 	target := sent.daemon
@@ -168,7 +168,7 @@
 	return p.request.timeout + answerSlack + extraAnswerWait
 }
 
-// writeRequest writes a request. It ignores errors, since reading the answer then fails too.
+// writeRequest writes a request and its extra bytes. It ignores errors, because reading the answer then fails too.
 func writeRequest(conn net.Conn, sent *request) {
 	body := "job"
 	if sent.largeBody {
@@ -181,7 +181,7 @@
 	}
 }
 
-// drawExtraBytes draws how many bytes a client that closes its connection early writes after its request.
+// drawExtraBytes chooses at random how many bytes a client that closes its connection early writes after its request.
 func drawExtraBytes(random *rand.Rand) int {
 	const beginningOfRequest = 10
 	switch {
