--- a/cmd/dispatcher/jobs_commands_test.go
+++ b/cmd/dispatcher/jobs_commands_test.go
@@ -14,11 +14,11 @@
 
 // Numbers of jobs that TestJobsCommands pushes.
 const (
-	scheduledJobs = 250               // those with ids from later-1000 on
-	jobCount      = scheduledJobs + 3 // all
+	scheduledJobs = 250               // those with the ids later-1000 to later-1249
+	jobCount      = scheduledJobs + 3 // number of all jobs
 )
 
-// jobsTest is a dispatcher with a durable queue, on whose jobs commands are run.
+// jobsTest runs the jobs commands on the jobs of a dispatcher with a durable queue.
 type jobsTest struct {
 	t            *testing.T
 	dir          string
@@ -27,7 +27,7 @@
 	producer     *faktoryClient
 }
 
-// jobsTarget says what a command works on.
+// jobsTarget is what a jobs command works on.
 type jobsTarget string
 
 const (
@@ -49,7 +49,7 @@
 
 func (j *jobsTest) storePath() string { return filepath.Join(j.dir, storeFileName) }
 
-// run runs a command on jobs, and returns its output.
+// run runs a jobs command, and returns its output.
 func (j *jobsTest) run(target jobsTarget, args ...string) (string, error) {
 	targetFlag := []string{"--door", j.adminAddress}
 	if target == stoppedDispatcher {
@@ -73,8 +73,9 @@
 	return got
 }
 
-// must runs a command, and fails the test if the command fails. It returns the output.
-func (j *jobsTest) must(target jobsTarget, args ...string) string {
+// mustSucceed runs a command, and fails the test if the command fails. It returns the
+// command's output.
+func (j *jobsTest) mustSucceed(target jobsTarget, args ...string) string {
 	j.t.Helper()
 	return j.mustPrint("", target, args...)
 }
@@ -123,21 +124,21 @@
 	}
 }
 
-// waitUntilInDoubt waits until as many jobs are in doubt, because their leases have expired.
+// waitUntilInDoubt waits until the leases of count jobs have expired and the jobs are in doubt.
 func (j *jobsTest) waitUntilInDoubt(count int) {
 	j.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
-		list := j.must(runningDispatcher, "list", "--state", "in doubt")
+		list := j.mustSucceed(runningDispatcher, "list", "--state", "in doubt")
 		if strings.Count(list, "may have run") == count {
 			return
 		}
 		if time.Now().After(end) {
-			j.t.Fatal("the jobs are not in doubt in time")
+			j.t.Fatal("the jobs were not in doubt in time")
 		}
 	}
 }
 
-// The commands on jobs work through the admin API of a running dispatcher and on the store
+// The jobs commands work through the admin API of a running dispatcher and on the store
 // file of a stopped one. Each change is in the audit log with its reason.
 func TestJobsCommands(t *testing.T) {
 	jobs := &jobsTest{t: t, dir: t.TempDir()}
@@ -174,18 +175,18 @@
 	j.mustFail("reason", runningDispatcher, "settle", "doubt-0001", "--ran")
 	j.mustFail("not in doubt", runningDispatcher, "settle", "later-0001", "--ran", "--reason", "x")
 	j.mustFail("needs --store", runningDispatcher, "verify")
-	j.must(runningDispatcher, "settle", "doubt-0001", "--ran", "--reason", "the till shows it")
+	j.mustSucceed(runningDispatcher, "settle", "doubt-0001", "--ran", "--reason", "the till shows it")
 	j.mustPrint("done", runningDispatcher, "list", "--state", "done")
-	j.must(runningDispatcher, "discard", "later-0001", "--reason", "asked twice")
-	if list := j.must(runningDispatcher, "list"); strings.Count(list, "\n") != jobCount {
+	j.mustSucceed(runningDispatcher, "discard", "later-0001", "--reason", "asked twice")
+	if list := j.mustSucceed(runningDispatcher, "list"); strings.Count(list, "\n") != jobCount {
 		j.t.Errorf("the list, which takes several pages, has %d lines", strings.Count(list, "\n"))
 	}
-	if list := j.must(runningDispatcher, "list", "--limit", "3"); strings.Count(list, "\n") != 3 || !strings.HasPrefix(list, "doubt-0001") {
+	if list := j.mustSucceed(runningDispatcher, "list", "--limit", "3"); strings.Count(list, "\n") != 3 || !strings.HasPrefix(list, "doubt-0001") {
 		j.t.Errorf("the list of three is %q", list)
 	}
 	j.mustFail("another process has it open", stoppedDispatcher, "list")
 	j.mustFail("another process has it open", stoppedDispatcher, "compact")
-	j.must(runningDispatcher, "snapshot", "copy.db")
+	j.mustSucceed(runningDispatcher, "snapshot", "copy.db")
 	j.mustFail("there is a file already", runningDispatcher, "snapshot", "copy.db")
 	j.mustFail("no plain file name", runningDispatcher, "snapshot", "../copy.db")
 }
@@ -196,7 +197,7 @@
 	j.mustPrint("whole", stoppedDispatcher, "verify")
 	list := j.mustPrint("doubt-0002", stoppedDispatcher, "list")
 	j.mustPrint("bytes now", stoppedDispatcher, "compact")
-	j.must(stoppedDispatcher, "snapshot", "second.db")
+	j.mustSucceed(stoppedDispatcher, "snapshot", "second.db")
 	for _, name := range []string{storeFileName, "copy.db", "second.db"} {
 		var output bytes.Buffer
 		err := runCommand([]string{"jobs", "--store", filepath.Join(j.dir, name), "list"}, os.Getenv, &output, &output)
@@ -204,14 +205,14 @@
 			j.t.Errorf("%s: %v; %d lines, want %d", name, err, strings.Count(output.String(), "\n"), strings.Count(list, "\n"))
 		}
 	}
-	j.must(stoppedDispatcher, "settle", "doubt-0002", "--not-ran", "--reason", "the till has no such member")
+	j.mustSucceed(stoppedDispatcher, "settle", "doubt-0002", "--not-ran", "--reason", "the till has no such member")
 	j.mustFail("not in doubt", stoppedDispatcher, "settle", "doubt-0002", "--ran", "--reason", "x")
 	j.mustPrint("ready", stoppedDispatcher, "list", "--state", "ready")
-	j.must(stoppedDispatcher, "retry", "later-1007", "--reason", "the member waits")
+	j.mustSucceed(stoppedDispatcher, "retry", "later-1007", "--reason", "the member waits")
 	if export := j.mustPrint(`"args":["member 7"]`, stoppedDispatcher, "export"); strings.Count(export, "\n") != jobCount {
 		j.t.Errorf("the export has %d lines", strings.Count(export, "\n"))
 	}
-	audit := j.must(stoppedDispatcher, "audit")
+	audit := j.mustSucceed(stoppedDispatcher, "audit")
 	for _, want := range []string{"in doubt", "the till shows it", "settled: it did not run", "asked twice", "the member waits"} {
 		if !strings.Contains(audit, want) {
 			j.t.Errorf("the audit log lacks %q: %s", want, audit)
@@ -223,10 +224,10 @@
 // leased to workers after the next start.
 func (j *jobsTest) checkResolvedJobsRun() {
 	j.t.Helper()
-	j.start(60) // so long that no lease expires even on a slow machine
+	j.start(60) // seconds; no lease expires in this time, even on a slow machine
 	j.fetch(j.connect("w3"))
 	j.fetch(j.connect("w4"))
-	leased := j.must(runningDispatcher, "list", "--state", "leased")
+	leased := j.mustSucceed(runningDispatcher, "list", "--state", "leased")
 	if !strings.Contains(leased, "doubt-0002") || !strings.Contains(leased, "later-1007") {
 		j.t.Errorf("leased: %q", leased)
 	}
@@ -234,8 +235,8 @@
 	j.dispatcher.Wait()
 }
 
-// checkDamagedRecord checks that a damaged record makes commands fail with its id, and is not
-// skipped.
+// checkDamagedRecord checks that a damaged record is not skipped: commands fail with an error
+// that contains the id of the record.
 func (j *jobsTest) checkDamagedRecord() {
 	j.t.Helper()
 	text, err := os.ReadFile(j.storePath())
--- a/cmd/dispatcher/replacement_test.go
+++ b/cmd/dispatcher/replacement_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// refusingAddress is an address on which nothing listens.
+// refusingAddress is an address on which nothing listens, so that connections are refused.
 const refusingAddress = "127.0.0.1:1"
 
-// moveDiscovery makes the running daemon use another discovery, and then writes a stale
-// address to the configuration file, so that a successor must get the address from its
-// predecessor.
+// moveDiscovery makes the running daemon use another discovery service, and then writes an
+// address on which nothing listens to the configuration file, so that a successor must get the
+// address from its predecessor.
 func (d *testDaemon) moveDiscovery() (moved *testDiscovery) {
 	d.t.Helper()
 	d.discovery.waitForWatch()
@@ -30,19 +30,19 @@
 }
 
 // replaceBySuccessor replaces the daemon by a successor, which it returns. It checks that the
-// successor uses the predecessor's discovery, that both together keep to the limit of
-// descriptors, and that the predecessor ends with exit code 0.
+// successor uses the predecessor's discovery service, that both processes together do not
+// exceed the limit of descriptors, and that the predecessor exits with code 0.
 func (d *testDaemon) replaceBySuccessor(round int, discovery *testDiscovery, descriptorLimit int) (successor *testDaemon) {
 	t := d.t
 	t.Helper()
 	successor = d.startSuccessor()
 	successor.waitUntil("the successor is ready", successor.ready)
 	if query := discovery.waitForWatch(); !strings.HasPrefix(query, "watch=1") {
-		t.Errorf("watch %q at the discovery to which the predecessor was moved", query)
+		t.Errorf("query %q at the discovery service to which the predecessor was moved, want a watch", query)
 	}
 	successor.waitForLog("accepting clients")
 	if descriptors := d.openDescriptors() + successor.openDescriptors(); descriptors > descriptorLimit {
-		t.Errorf("round %d: %d descriptors", round, descriptors)
+		t.Errorf("round %d: the two processes have %d descriptors open", round, descriptors)
 	}
 	d.waitForLog("successor is accepting clients")
 	d.signal(syscall.SIGTERM)
@@ -55,9 +55,9 @@
 
 // A process is replaced while clients send requests. No connection is refused or closed with
 // an unread request, each request has one answer, and none runs twice. The successor uses the
-// discovery to which the predecessor was moved, is drained if the predecessor is, rejects ids
-// that the predecessor accepted, and can be replaced itself. Both together keep to the limit
-// of descriptors.
+// discovery service to which the predecessor was moved, is drained if the predecessor is,
+// rejects request ids that the predecessor accepted, and can be replaced itself. Both
+// processes together do not exceed the limit of descriptors.
 func TestReplacement(t *testing.T) {
 	const descriptorLimit = 256
 	first := newDaemonWithAdmin(t, newPlatformListener(t))
@@ -86,18 +86,18 @@
 	}
 
 	if status := current.postStatus("renewal", "load-0-0"); status != 409 {
-		t.Errorf("an id that the predecessor accepted: %d", status)
+		t.Errorf("a request id that the predecessor accepted: status %d", status)
 	}
 	checkDrainedReplacement(t, current)
 }
 
 // checkDrainedReplacement checks that the successor of a drained process is drained too, that
-// ending the drain in one process ends it in both, and that the predecessor serves on if the
-// successor dies.
+// ending the drain in one process ends it in both, and that the predecessor continues to serve
+// if the successor is killed.
 func checkDrainedReplacement(t *testing.T, predecessor *testDaemon) {
 	t.Helper()
 	if status := predecessor.setOutOfService(); status != 200 {
-		t.Errorf("out of service: %d", status)
+		t.Errorf("setting out of service: status %d", status)
 	}
 	successor := predecessor.startSuccessor()
 	successor.waitUntil("the drained dispatcher's successor is ready", successor.ready)
@@ -105,20 +105,20 @@
 		t.Error("a process is healthy during a drain")
 	}
 	if status := successor.setInService(); status != 200 {
-		t.Errorf("in service: %d", status)
+		t.Errorf("setting in service: status %d", status)
 	}
 	predecessor.waitForLog(`"in service"`)
 	successor.cmd.Process.Kill()
 	predecessor.waitForLog("successor has ended")
 	predecessor.waitUntil("health", func() bool { return predecessor.health() == 200 })
 	if status := predecessor.postStatus("renewal", "after"); status != 200 {
-		t.Errorf("after the successor's end: %d", status)
+		t.Errorf("request after the end of the successor: status %d", status)
 	}
 }
 
 // If the directory of the handover socket is not set or does not exist, the two processes
-// cannot connect, and each serves on its own. A directory whose path is longer than that of a
-// unix socket may be works.
+// cannot connect, and each serves independently. The handover works even in a directory whose
+// path is longer than the path of a unix socket may be.
 func TestHandoverSocketDirectories(t *testing.T) {
 	platform := newPlatformListener(t)
 	long := filepath.Join(platform.directory, strings.Repeat("long-", 25))
@@ -141,15 +141,15 @@
 				t.Errorf("exit code %d", code)
 			}
 			if status := successor.postStatus("renewal", "after"); status != 200 {
-				t.Errorf("the second process: %d", status)
+				t.Errorf("request to the second process: status %d", status)
 			}
 		})
 	}
 }
 
-// If discovery does not answer, a successor uses the endpoint list of its predecessor, also
-// after the predecessor has died without a shutdown. A process starts even if a dead process
-// has left its handover socket's file behind.
+// If the discovery service does not answer, a successor uses the endpoint list of its
+// predecessor, also after the predecessor was killed. A process starts even if a killed process
+// has left the file of its handover socket behind.
 func TestSuccessorUsesListOfDeadPredecessor(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
 	removed := daemon.addWorker("s-1", respondDone)
@@ -172,7 +172,7 @@
 	successor.waitForLog("predecessor has ended")
 	for i := range 10 {
 		if status := successor.postStatus("renewal", fmt.Sprint("list-", i)); status != 200 {
-			t.Errorf("a request with the list handed over: %d", status)
+			t.Errorf("a request with the list handed over: status %d", status)
 		}
 	}
 	if len(removed.requests()) != before {
@@ -185,8 +185,8 @@
 	last.waitUntil("ready with the file of a dead process", last.ready)
 }
 
-// A Faktory front end with a queue that is not durable cannot be handed over: a successor with
-// one ends with an error, and the predecessor serves on.
+// A Faktory front end with a queue that is not durable cannot be handed over. A successor that
+// is configured with one exits with an error, and the predecessor continues to serve.
 func TestDirectFaktoryQueueIsNotHandedOver(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
 	daemon.addWorker("s-1", respondDone)
@@ -197,9 +197,9 @@
 	successor.ExtraFiles = daemon.inheritedFiles
 	output, err := successor.CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "the Faktory front end cannot be handed over") {
-		t.Errorf("%v, %q", err, output)
+		t.Errorf("the successor ended with error %v and output %q", err, output)
 	}
 	if status := daemon.postStatus("renewal", "after"); status != 200 {
-		t.Errorf("the first process: %d", status)
+		t.Errorf("request to the first process: status %d", status)
 	}
 }
