--- a/internal/faktory/client_test.go
+++ b/internal/faktory/client_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// The producer and the worker of these tests are implemented from the public
-// specification of the protocol.
+// The clients of these tests, producers and workers, are implemented from the
+// protocol's public specification.
 
 // testTimeout is how long the tests wait for an expected event.
 const testTimeout = 20 * time.Second
@@ -81,8 +81,8 @@
 	return string(text[:length]), err
 }
 
-// do sends a command and returns its answer, or a text with brokenPrefix if the
-// connection is broken.
+// do sends a command and returns the reply, or a text that begins with brokenPrefix
+// if the connection is broken.
 func (c *client) do(command string) string {
 	c.conn.Write([]byte(command + "\r\n"))
 	got, err := c.readReply()
@@ -96,8 +96,8 @@
 // broken.
 const brokenPrefix = "broken: "
 
-// expect sends a command and checks that its answer begins with want, or is equal
-// to it if want is +OK.
+// expect sends a command and checks that the reply begins with want, or is equal to
+// it if want is +OK.
 func (c *client) expect(command, want string) {
 	c.t.Helper()
 	got := c.do(command)
@@ -113,7 +113,7 @@
 			return got
 		}
 	}
-	c.t.Fatal("no job")
+	c.t.Fatal("FETCH returned no job in time")
 	return ""
 }
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// ack acknowledges a job and returns the answer.
+// ack acknowledges a job and returns the reply.
 func (c *client) ack(jid string) string { return c.do(`ACK {"jid":"` + jid + `"}`) }
 
 // serveJobs fetches jobs and acknowledges each, after calling run with its jid,
@@ -159,8 +159,8 @@
 	return job.Jid
 }
 
-// pushAsync sends a PUSH on a new connection and returns the channel on which its
-// answer is sent.
+// pushAsync sends a PUSH on a new connection and returns the channel that receives
+// the reply.
 func pushAsync(t *testing.T, address, command string) chan string {
 	answer := make(chan string, 1)
 	producer := dialProducer(t, address)
--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -22,15 +22,15 @@
 	defaultLanes = 8
 	maxLanes     = 64
 
-	// maxDurableValue bounds the numbers of the durable table, so that a number of
-	// seconds fits a time.Duration.
+	// maxDurableValue is the maximum of the numbers in the durable table. With it a
+	// number of seconds fits a time.Duration.
 	maxDurableValue = 1e9
 )
 
 // Config is the operator's configuration of the Faktory front end.
 type Config struct {
 	Listen   string `toml:"listen"`   // address for producers and workers; empty disables the server role
-	Password string `toml:"password"` // that they must know; empty if none is required
+	Password string `toml:"password"` // that producers and workers must know; empty if none is required
 	Source   struct {
 		Address  string   `toml:"address"` // of the upstream server; empty disables the source role
 		Password string   `toml:"password"`
@@ -41,17 +41,17 @@
 	Durable Durable `toml:"durable"`
 }
 
-// Durable is the operator's table of durable queues.
+// Durable is the durable table of the operator's configuration.
 type Durable struct {
 	Path        string   `toml:"path"`          // the file that stores the jobs; if it is empty no queue is durable
-	Queues      []string `toml:"queues"`        // names of the durable queues, which are classes; the others are direct
+	Queues      []string `toml:"queues"`        // names of the durable queues, which are classes; the other classes have direct queues
 	LeaseS      float64  `toml:"lease_s"`       // seconds that a lease lasts without a heartbeat, if the job has no reserve_for
 	GraceS      float64  `toml:"grace_s"`       // seconds after a start for workers to reconnect and report their jobs
 	Attempts    int      `toml:"attempts"`      // maximum attempts of an idempotent job without a retry field
 	BackoffS    float64  `toml:"backoff_s"`     // seconds before the second attempt, doubled before each further one
 	RetainS     float64  `toml:"retain_s"`      // seconds for which a completed job is kept
 	RetainDeadS float64  `toml:"retain_dead_s"` // seconds for which a dead job is kept
-	DelayMs     float64  `toml:"delay_ms"`      // milliseconds for which a batch of changes waits for others before its fsync
+	DelayMs     float64  `toml:"delay_ms"`      // milliseconds for which a batch of changes waits for further changes before its fsync
 	Flush       bool     `toml:"flush"`         // whether FLUSH is allowed
 
 	Log *slog.Logger `toml:"-"` // for the service of durable jobs; if it is nil nothing is logged
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("queue %q is direct, and its jids are in memory only", e.Queue)
 }
 
-// Default returns the defaults, into which a file or table is decoded.
+// Default returns the default configuration, into which a file or table is decoded.
 func Default() (c Config) {
 	c.Source.Lanes = defaultLanes
 	return c
@@ -133,7 +133,7 @@
 }
 
 // CheckHandover checks that a process with this configuration can hand over to a
-// successor, which needs all its state to be in the store. The error is
+// successor. This is possible only if all its state is in the store. The error is
 // ErrSourceHandover or a *DirectQueueError.
 func (c *Config) CheckHandover(settings *decision.Settings) error {
 	if c.Source.Address != "" {
--- a/internal/faktory/connection.go
+++ b/internal/faktory/connection.go
@@ -33,8 +33,8 @@
 	push           *pendingPush       // the PUSH of a direct queue that waits for its answer, or nil
 	fetch          *parkedFetch       // the FETCH that waits for a job, or nil
 	lastPushServed bool               // the job of the PUSH that is being answered was served
-	deadline       eventloop.Deadline // of a parked FETCH, or of an idle connection
-	closed         bool               // detached from the server
+	deadline       eventloop.Deadline // end of the wait of a parked FETCH, or of the time that a connection may be idle
+	closed         bool               // detach was called
 }
 
 // writeLine sends a reply of one line.
@@ -43,13 +43,14 @@
 // writeBulk sends a reply that is a bulk string.
 func (c *connection) writeBulk(text []byte) { c.conn.Write(appendBulk(nil, text)) }
 
-// setDeadline makes the loop call onDeadline after a span of time.
+// setDeadline makes the loop call onDeadline after the given time.
 func (c *connection) setDeadline(span time.Duration) {
 	loop := c.server.dispatcher.Loop
 	loop.Set(&c.deadline, loop.Now()+span)
 }
 
-// onDeadline answers a FETCH for which no job came, or closes an idle connection.
+// onDeadline replies to a FETCH for which there was no job in time, or closes an idle
+// connection.
 func (c *connection) onDeadline() {
 	switch {
 	case c.fetch != nil:
@@ -61,7 +62,7 @@
 	}
 }
 
-// resume processes the next command after a command that waited was answered.
+// resume continues with the next command after the reply to a command that had to wait.
 func (c *connection) resume() {
 	c.busy = false
 	loop := c.server.dispatcher.Loop
@@ -71,7 +72,7 @@
 	}
 	c.setDeadline(idleTimeout)
 	if !c.input.empty() {
-		loop.Post(c.processInput) // a pipelined command; posted, as the dispatcher may be the caller
+		loop.Post(c.processInput) // a pipelined command; posted, because the dispatcher may be the caller
 	}
 }
 
@@ -81,7 +82,7 @@
 	c.conn.CloseGracefully()
 }
 
-// detach removes the connection from the server. Further calls do nothing.
+// detach removes the connection from the server. Calls after the first do nothing.
 func (c *connection) detach() {
 	if c.closed {
 		return
@@ -98,7 +99,8 @@
 	}
 }
 
-// OnClosed handles that the peer has closed the connection or that it has failed.
+// OnClosed is called when the peer has closed the connection or the connection has
+// failed.
 func (c *connection) OnClosed(*transport.Conn, error) {
 	c.detach()
 	c.cancelPush()
@@ -133,8 +135,8 @@
 	c.conn.CloseGracefully()
 }
 
-// deferReply makes the connection busy until reply is called, which sends the
-// answer to the command. If the connection is closed by then, reply does nothing.
+// deferReply makes the connection busy until reply is called, which sends the reply
+// to the command. If the connection is closed by then, reply does nothing.
 func (c *connection) deferReply() (reply func(line string)) {
 	c.busy = true
 	c.server.dispatcher.Loop.Clear(&c.deadline)
--- a/internal/faktory/foreignreport_test.go
+++ b/internal/faktory/foreignreport_test.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// These tests guard against a report that takes effect although its connection's worker does not hold the job. They send
-// every report from such connections: the job must not change, and must still run once. Three faults are covered:
+// These tests guard against a report that takes effect although its connection's worker does not hold the job. They
+// send every kind of report from such connections: the job must not change, and must still run once. Three faults are
+// covered:
 //   - An ACK without a fence, from any connection, finishes a stored job that was never leased (TRACK GET goes from
 //     "enqueued" to "success"), so the job is lost without having run: the report's missing fence is 0, like that of a
 //     job without a lease.
 //   - The worker of the connection is checked only for reports without a fence.
 //   - It is not checked at all for BEAT and for reports about direct jobs.
 
-// foreignReports returns all reports about a job, without a fence and under the given one.
+// foreignReports returns all kinds of reports about a job, each without a fence and with the given one.
 func foreignReports(jid string, fence uint64) (commands []string) {
 	for _, more := range []string{"", fmt.Sprintf(`,"fence":%d`, fence)} {
 		commands = append(commands,
@@ -29,16 +30,16 @@
 	return commands
 }
 
-// reportFromOthers sends every report about a job from a producer and from workers that do not hold the job. Each must be
-// rejected and must not change the job.
+// reportFromOthers sends all foreignReports about a job from a producer and from workers that do not hold the job. Each
+// must be rejected and must not change the job.
 func reportFromOthers(t *testing.T, address, jid string, fence uint64) {
 	t.Helper()
 	producer := dialProducer(t, address)
 	before := producer.do("TRACK GET " + jid)
 	for name, reporter := range map[string]*client{
-		"a producer":       producer,
-		"another worker":   dialWorker(t, address, "never-had-it"),
-		"a worker, fences": dialWorker(t, address, "never-had-it-either", labelFences),
+		"a producer":                        producer,
+		"another worker":                    dialWorker(t, address, "never-had-it"),
+		"another worker that honors fences": dialWorker(t, address, "never-had-it-either", labelFences),
 	} {
 		for _, command := range foreignReports(jid, fence) {
 			if got := reporter.do(command); !strings.HasPrefix(got, "-ERR") {
@@ -101,7 +102,7 @@
 		other := dialWorker(t, address, "w2")
 		for end := time.Now().Add(2 * time.Second); producer.stateOf("silent-001") != "in doubt"; time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("a lease of 0.3 s was renewed for 2 s by others")
+				t.Fatal("heartbeats of other connections renewed a lease of 0.3 s for 2 s")
 			}
 			producer.expect(`BEAT {"wid":"w1"}`, "+OK")
 			other.expect(`BEAT {"wid":"w1"}`, "+OK")
@@ -121,7 +122,7 @@
 	worker.expectFetch("renewal", "drain-0001")
 	worker.ack("drain-0001")
 	if got := awaitAnswer(t, answer); got != "+OK" {
-		t.Errorf("the job: %q", got)
+		t.Errorf("reply to the PUSH: %q", got)
 	}
 }
 
@@ -154,7 +155,7 @@
 	worker.expectFetch("renewal", "late-00001")
 	worker.conn.Close()
 	if got := awaitAnswer(t, answer); !strings.HasPrefix(got, "-ERR FAILED it may have run") {
-		t.Fatalf("its worker has gone: %q", got)
+		t.Fatalf("after its worker has disconnected: %q", got)
 	}
 	producer := dialProducer(t, address)
 	push := pushCommand("late-00001", "renewal", "")
--- a/internal/faktory/push.go
+++ b/internal/faktory/push.go
@@ -13,7 +13,7 @@
 // pendingPush is a PUSH of a direct queue that waits for the final result of its
 // job.
 type pendingPush struct {
-	request uint64 // the dispatcher's handle of the request; 0 while Accept has not returned
+	request uint64 // the dispatcher's handle of the request; 0 until Accept has returned
 	jid     string
 	class   int
 }
@@ -50,8 +50,8 @@
 	c.dispatch(job.request, now)
 }
 
-// storeJob stores a job and calls onStored with nil once it is on disk, or with
-// the error that its producer gets.
+// storeJob stores a job. It calls onStored with nil once the job is on disk, or with
+// the error that is sent to its producer.
 func (c *connection) storeJob(job *incomingJob, onStored func(error)) {
 	server := c.server
 	class := &server.dispatcher.Settings.Classes[job.request.Class]
@@ -109,7 +109,7 @@
 	c.server.finishJid(push, dispatch.Response{Outcome: dispatch.Failed, MayHaveRun: mayHaveRun})
 }
 
-// invalidJobLine is the answer to a PUSH whose job cannot be accepted.
+// invalidJobLine returns the reply to a PUSH whose job cannot be accepted.
 func invalidJobLine(err error) string {
 	prefix := replyMalformed
 	if errors.Is(err, errUnknownClass) || errors.Is(err, errAmbiguousClass) {
@@ -118,8 +118,8 @@
 	return prefix + singleLine(err.Error())
 }
 
-// knownJidLine is the answer to the PUSH of a jid that must not run again, or not
-// while it is in progress. It is empty if the job may run.
+// knownJidLine returns the reply to a PUSH whose job must not run, because a job with
+// its jid has run, may have run or is in progress. It is empty if the job may run.
 func knownJidLine(status jidStatus) string {
 	switch status {
 	case jidServed: // the answer to the earlier PUSH was probably lost
@@ -132,8 +132,8 @@
 	return ""
 }
 
-// rejectionLine is the answer to a PUSH whose job has not run. It says when to
-// retry unless retryAfter is 0.
+// rejectionLine returns the reply to a PUSH whose job was rejected. It contains the
+// time after which to retry, unless retryAfter is 0.
 func rejectionLine(retryAfter time.Duration) string {
 	line := "-ERR REFUSED pushing it again is harmless"
 	if retryAfter > 0 {
@@ -142,7 +142,7 @@
 	return line
 }
 
-// failureLine is the answer to a PUSH whose job has failed.
+// failureLine returns the reply to a PUSH whose job has failed.
 func failureLine(mayHaveRun, idempotent bool) string {
 	switch {
 	case !mayHaveRun:
--- a/internal/faktory/reports.go
+++ b/internal/faktory/reports.go
@@ -10,7 +10,7 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// States with which a worker says in BEAT that it takes no more jobs.
+// States in a worker's BEAT which mean that it takes no more jobs.
 const (
 	stateQuiet       = "quiet"
 	stateTerminate   = "terminate"
@@ -39,13 +39,13 @@
 	}
 }
 
-// isNamed reports whether the wid of a BEAT is the worker's. It may be left out.
+// isNamed reports whether the wid of a BEAT is the worker's or was left out.
 func (w *registeredWorker) isNamed(wid string) bool {
 	return wid == "" || workerNamePrefix+wid == w.name
 }
 
 // decodeReport decodes a worker's message about a job. If it is invalid or has no
-// jid, decodeReport answers the command with an error and returns false.
+// jid, decodeReport replies with an error and returns false.
 func (c *connection) decodeReport(verb string, rest []byte) (message word, ok bool) {
 	err := json.Unmarshal(rest, &message)
 	if err != nil || message.Jid == "" {
@@ -74,12 +74,13 @@
 		if err != nil { // the worker will not run the job
 			server.endAttemptUnderLease(message.Jid, fence, decision.NotSent)
 		}
-		reply(leaseResultLine(err))
+		reply(leaseResultReply(err))
 	})
 }
 
-// handleCompletion handles ACK and FAIL, the result of a job. If a direct job is
-// not, or no longer, handed out to the connection's worker, the answer is +OK too.
+// handleCompletion handles ACK and FAIL, which report the result of a job. The reply
+// about a direct job is +OK even if the job is not, or no longer, handed out to the
+// connection's worker.
 func (c *connection) handleCompletion(verb string, rest []byte) {
 	message, ok := c.decodeReport(verb, rest)
 	if !ok {
@@ -96,8 +97,8 @@
 	c.server.completeDirect(verb, c.worker, message.Jid)
 }
 
-// outcomeOf returns the outcome of an attempt whose worker sends ACK or FAIL.
-func outcomeOf(verb string) decision.AttemptOutcome {
+// outcomeOfVerb returns the outcome of an attempt whose worker sends ACK or FAIL.
+func outcomeOfVerb(verb string) decision.AttemptOutcome {
 	if verb == commandAck {
 		return decision.Completed
 	}
@@ -113,7 +114,7 @@
 	}
 	delivery := s.findHandedOut(worker, jid)
 	if delivery != nil {
-		s.endAttempt(delivery, outcomeOf(verb))
+		s.endAttempt(delivery, outcomeOfVerb(verb))
 		return
 	}
 	if verb == commandAck {
@@ -121,13 +122,13 @@
 	}
 }
 
-// completeDurable handles the ACK or FAIL of a durable job. It is answered once
-// the report is on disk. A rejected report does not change the job.
+// completeDurable handles the ACK or FAIL of a durable job. The reply is sent once
+// the change is on disk. A rejected report does not change the job.
 func (c *connection) completeDurable(verb string, job jobs.Job, message word) {
 	queues := c.server.durable
 	fence := c.fenceOf(job, message)
 	reply := c.deferReply()
-	onStored := func(err error) { reply(leaseResultLine(err)) }
+	onStored := func(err error) { reply(leaseResultReply(err)) }
 	if verb == commandAck {
 		queues.Ack(message.Jid, fence, nil, onStored)
 	} else {
@@ -137,14 +138,13 @@
 	if fence == job.Fence {
 		delete(queues.progress, message.Jid)
 	}
-	c.server.endAttemptUnderLease(message.Jid, fence, outcomeOf(verb))
+	c.server.endAttemptUnderLease(message.Jid, fence, outcomeOfVerb(verb))
 }
 
-// fenceOf returns the fence of the lease that a message is about: the fence in the
-// message, or else that of the job's newest lease. It returns jobs.NoFence for a
-// connection of any other worker than the one that holds or held that lease, or of
-// a producer: fences are small numbers that a faulty client can send by chance, so
-// the right fence alone does not prove that a report comes from that worker.
+// fenceOf returns the fence of the lease that a message is about: the fence in the message, or else
+// that of the job's newest lease. It returns jobs.NoFence unless the connection is one of the
+// worker that holds or held that lease: fences are small numbers that a faulty client can send by
+// chance, so the right fence alone does not prove that a report comes from that worker.
 func (c *connection) fenceOf(job jobs.Job, message word) uint64 {
 	if c.worker == nil || c.worker.name != job.Worker {
 		return jobs.NoFence
@@ -158,8 +158,9 @@
 	return jobs.Reason(cmp.Or(text, "failed"))
 }
 
-// leaseResultLine returns the reply to a report about a lease.
-func leaseResultLine(err error) string {
+// leaseResultReply returns the reply to a report about a lease: +OK, or -ERR VOID and
+// the text of err.
+func leaseResultReply(err error) string {
 	if err != nil {
 		err = fmt.Errorf("VOID %w", err)
 	}
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// frontEndNumber identifies this front end at the gate.
+	// frontEndNumber identifies this front end to the gate, which admits connections.
 	frontEndNumber = 1
 
-	// evictionBatch is how many connections shedConnections closes at most in one call.
+	// evictionBatch is the maximum number of connections that one call of
+	// shedConnections closes.
 	evictionBatch = 16
 
 	// shedInterval is how long shedConnections waits after it could not close a connection.
@@ -26,19 +27,19 @@
 
 // Server is the server role: the PUSH of a producer becomes a request to the
 // dispatcher, and a parked FETCH is a free slot of a worker. Each command is
-// answered exactly once, in order. A Server is a front end and a worker client
+// answered exactly once, in the order of the commands on its connection. A Server is a front end and a worker client
 // of the dispatcher; its methods must be called on the loop's goroutine.
 type Server struct {
 	dispatcher     *dispatch.Dispatcher
 	engine         *transport.Engine
 	password       string         // empty if none is required
-	classIndexes   map[string]int // by name
-	firstClassKind int            // worker kind firstClassKind+set is for the classSet set, see AddWorkerKinds
+	classIndexes   map[string]int // by class name
+	firstClassKind int            // firstClassKind+set is the worker kind for the classSet set; see AddWorkerKinds
 
 	gate        *listener.Gate
 	acceptor    *transport.Acceptor
 	connections slotmap.Map[connection] // by the token that the dispatcher and the gate use
-	shedTimer   eventloop.Deadline      // set while no connection could be closed for a new one
+	shedTimer   eventloop.Deadline      // set after shedConnections could not close a connection
 
 	workers    map[string]*registeredWorker // by name
 	deliveries map[uint64]*jobDelivery      // by the handle of their attempt
@@ -122,9 +123,9 @@
 	return accepted
 }
 
-// shedConnections closes idle connections when the limit is reached, as a new
-// connection may be waiting. If it cannot close any it tries again after
-// shedInterval: connections become eligible with time, and the acceptor calls
+// shedConnections closes idle connections when the limit is reached, because a new
+// connection may be waiting. If it cannot close any, it tries again after
+// shedInterval: connections may become eligible later, and the acceptor calls
 // shedConnections only once.
 func (s *Server) shedConnections() {
 	for evicted := range evictionBatch {
@@ -153,8 +154,8 @@
 // ConnectionCount returns the number of open connections.
 func (s *Server) ConnectionCount() int { return s.connections.Len() }
 
-// Close closes producers' connections that have nothing pending, and workers'
-// once none of their jobs is in progress.
+// Close closes the connections that have no command pending and no unread input. It
+// leaves open those of workers with a job in progress.
 func (s *Server) Close() {
 	s.connections.ForEach(func(_ uint64, c *connection) {
 		if c.busy || !c.input.empty() {
@@ -166,7 +167,7 @@
 	})
 }
 
-// Respond answers the PUSH of a direct queue.
+// Respond replies to the pending PUSH of a connection to a direct queue.
 func (s *Server) Respond(token uint64, response dispatch.Response) {
 	c := s.connections.Get(token)
 	if c == nil || c.push == nil {
@@ -182,7 +183,7 @@
 }
 
 // RequestCancelled records that the dispatcher has cancelled the request of a
-// PUSH, as its producer has closed the connection. The dispatcher may notice that
+// PUSH because its producer has closed the connection. The dispatcher may notice that
 // before OnClosed is called.
 func (s *Server) RequestCancelled(token uint64, mayHaveRun bool) {
 	c := s.connections.Get(token)
@@ -193,7 +194,7 @@
 	c.push = nil
 }
 
-// finishJid records the final answer of the job of a PUSH.
+// finishJid records the final result of a PUSH under its jid.
 func (s *Server) finishJid(push *pendingPush, response dispatch.Response) {
 	idempotency := s.dispatcher.Settings.Classes[push.class].Idempotency
 	s.jids.finish(push.jid, response, idempotency, s.dispatcher.Loop.Now())
--- a/internal/faktory/slots.go
+++ b/internal/faktory/slots.go
@@ -13,8 +13,8 @@
 	// nextFetchTimeout is how long a job waits for its worker's next FETCH.
 	nextFetchTimeout = time.Second
 
-	// otherFrontEndSlots is how many free slots are assumed in total for the
-	// workers of other front ends, whose free slots are not known here.
+	// otherFrontEndSlots is the number of free slots that are assumed for all workers
+	// of other front ends together, because their free slots are not known here.
 	otherFrontEndSlots = 16
 )
 
@@ -28,7 +28,8 @@
 }
 
 // slotFor returns the parked FETCH that is reserved for a job, or else the oldest
-// free one that fetches its class, or nil.
+// one that fetches the job's class and is not reserved. It returns nil if there is
+// none.
 func (w *registeredWorker) slotFor(class int, jid string) (free *parkedFetch) {
 	for _, slot := range w.parked {
 		if !slot.classes.has(class) {
@@ -44,8 +45,8 @@
 	return free
 }
 
-// deliverAwaiting hands out the deliveries that wait for a FETCH, as far as there
-// are slots that fetch their classes.
+// deliverAwaiting hands out those deliveries that wait for a FETCH and for whose
+// classes there is a slot.
 func (w *registeredWorker) deliverAwaiting() {
 	for _, delivery := range slices.Clone(w.awaitingFetch) {
 		slot := w.slotFor(delivery.attempt.Request.Class, delivery.attempt.Request.ID)
@@ -93,8 +94,8 @@
 	return parked, running
 }
 
-// Reserve reserves a parked FETCH of a worker for a job, at once or when one comes
-// within nextFetchTimeout, and calls onReserved with whether it is reserved. A
+// Reserve reserves a parked FETCH of a worker for a job. If there is none, it waits
+// for one for up to nextFetchTimeout. It calls onReserved with whether it succeeded. A
 // worker of another front end always counts as having a free slot.
 func (s *Server) Reserve(workerName string, class int, jid string, onReserved func(reserved bool)) {
 	worker := s.workers[workerName]
@@ -131,14 +132,14 @@
 	})
 }
 
-// resolveReservation removes a waiting reservation and calls its onReserved.
+// resolveReservation ends the wait of a reservation with the given result.
 func (w *registeredWorker) resolveReservation(reservation *slotReservation, reserved bool) {
 	w.reservations = remove(w.reservations, reservation)
 	w.server.dispatcher.Loop.Clear(&reservation.deadline)
 	reservation.onReserved(reserved)
 }
 
-// fillReservations reserves free slots for the reservations that wait for one.
+// fillReservations assigns free slots to the reservations that wait for one.
 func (w *registeredWorker) fillReservations() {
 	for _, reservation := range slices.Clone(w.reservations) {
 		slot := w.slotFor(reservation.class, "")
--- a/internal/faktory/source_test.go
+++ b/internal/faktory/source_test.go
@@ -11,9 +11,9 @@
 	return fmt.Sprintf(`{"jid":%q,"queue":%q,"jobtype":"x","args":[]}`, jid, class)
 }
 
-// Jobs are fetched from an upstream server and run by workers that connect here.
-// One ACK is lost before it arrives, and later the answer to another one. Each job
-// must be closed exactly once and run exactly once.
+// Jobs are fetched from an upstream server and run by workers of this front end. One
+// ACK is lost before it arrives upstream, and the reply to another one is lost. Each
+// job must run exactly once and be reported upstream exactly once.
 func TestSourceClosesEveryJobOnce(t *testing.T) {
 	upstream := startUpstream(t)
 	const jobCount = 24
@@ -22,8 +22,8 @@
 		upstream.push(upstreamJob(fmt.Sprintf("up-%06d", i), class))
 	}
 	upstream.push(upstreamJob("up-nobody", "nonsense"))
-	upstream.loseCloseOf = "up-000003"
-	upstream.loseAnswerTo = "up-000005"
+	upstream.loseReportOf = "up-000003"
+	upstream.loseReplyTo = "up-000005"
 	address, _ := openFrontEnd(t, upstream.sourceConfig(3), nil)
 	runs := newRunCounts()
 	for i := range 2 {
@@ -32,45 +32,45 @@
 	}
 	for end := time.Now().Add(testTimeout); !upstream.isIdle(jobCount + 1); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("closed %v, reserved %v, ran %v", upstream.closed, upstream.reserved, runs.take())
+			t.Fatalf("reported %v, reserved %v, ran %v", upstream.reports, upstream.reserved, runs.take())
 		}
 	}
 	ran := runs.take()
 	for i := range jobCount {
 		jid := fmt.Sprintf("up-%06d", i)
-		closes, verb := upstream.closesOf(jid)
-		if closes != 1 || verb != "ACK" || ran[jid] != 1 {
-			t.Errorf("%s: closed %d times, last by %s, ran %d times", jid, closes, verb, ran[jid])
+		reports, verb := upstream.reportsOf(jid)
+		if reports != 1 || verb != "ACK" || ran[jid] != 1 {
+			t.Errorf("%s: reported %d times, last by %s, ran %d times", jid, reports, verb, ran[jid])
 		}
 	}
-	closes, verb := upstream.closesOf("up-nobody")
-	if closes != 1 || verb != "FAIL" || ran["up-nobody"] != 0 {
-		t.Errorf("a job of no class: closed %d times by %s, ran %d times", closes, verb, ran["up-nobody"])
+	reports, verb := upstream.reportsOf("up-nobody")
+	if reports != 1 || verb != "FAIL" || ran["up-nobody"] != 0 {
+		t.Errorf("a job of no class: reported %d times, last by %s, ran %d times", reports, verb, ran["up-nobody"])
 	}
 	upstream.mu.Lock()
 	defer upstream.mu.Unlock()
-	if upstream.unmatchedCloses != 0 || upstream.heartbeats == 0 {
-		t.Errorf("%d closes without a reservation, %d heartbeats", upstream.unmatchedCloses, upstream.heartbeats)
+	if upstream.unmatchedReports != 0 || upstream.heartbeats == 0 {
+		t.Errorf("%d reports without a reservation, %d heartbeats", upstream.unmatchedReports, upstream.heartbeats)
 	}
 }
 
-// awaitFailures waits until a job has been closed the given number of times, the
-// last time by FAIL. It fails the test if the job is closed more often.
+// awaitFailures waits until a job has been reported the given number of times, the
+// last time by FAIL. It fails the test if the job is reported more often.
 func (u *upstreamServer) awaitFailures(t *testing.T, jid string, want int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
-		closes, verb := u.closesOf(jid)
-		if closes == want && verb == "FAIL" {
+		reports, verb := u.reportsOf(jid)
+		if reports == want && verb == "FAIL" {
 			return
 		}
-		if closes > want || time.Now().After(end) {
-			t.Fatalf("closed %d times by %q, want %d by FAIL", closes, verb, want)
+		if reports > want || time.Now().After(end) {
+			t.Fatalf("reported %d times, last by %q, want %d times by FAIL", reports, verb, want)
 		}
 	}
 }
 
-// A non-idempotent job that may have run fails, and its redelivery is closed
-// without running.
+// A non-idempotent job that may have run is reported by FAIL. If upstream delivers it
+// again, it is reported by FAIL without being run.
 func TestSourceDoesNotRunRedeliveredJob(t *testing.T) {
 	upstream := startUpstream(t)
 	raw := upstreamJob("up-redone", "renewal")
--- a/internal/faktory/track.go
+++ b/internal/faktory/track.go
@@ -92,7 +92,7 @@
 	}
 	fence := c.fenceOf(job, message)
 	if fence != job.Fence {
-		c.writeLine(leaseResultLine(jobs.ErrLeaseVoid))
+		c.writeLine(leaseResultReply(jobs.ErrLeaseVoid))
 		return
 	}
 	now := c.server.dispatcher.Loop.Now()
--- a/internal/faktory/upstream_test.go
+++ b/internal/faktory/upstream_test.go
@@ -19,20 +19,20 @@
 	upstreamIterations = 1545
 )
 
-// upstreamServer is a server that reserves the jobs that it delivers. It is
-// implemented from the public specification of the protocol.
+// upstreamServer is a stand-in for an upstream Faktory server. It reserves the jobs
+// that it delivers, and is implemented from the protocol's public specification.
 type upstreamServer struct {
 	listener net.Listener
 
-	mu              sync.Mutex        // guards the fields below
-	queue           []string          // raw jobs
-	reserved        map[string]string // raw jobs by jid
-	closed          map[string]int    // by jid: number of ACKs and FAILs of reserved jobs
-	unmatchedCloses int               // number of ACKs and FAILs of jobs that are not reserved
-	closedBy        map[string]string // by jid: the verb of the last ACK or FAIL of a reserved job
-	loseAnswerTo    string            // the answer to the first ACK or FAIL of this jid is lost
-	loseCloseOf     string            // the first ACK or FAIL of this jid is lost
-	heartbeats      int
+	mu               sync.Mutex        // guards the fields below
+	queue            []string          // raw jobs
+	reserved         map[string]string // raw jobs by jid
+	reports          map[string]int    // by jid: number of ACKs and FAILs of reserved jobs
+	unmatchedReports int               // number of ACKs and FAILs of jobs that are not reserved
+	lastReportVerb   map[string]string // by jid: the verb of the last ACK or FAIL of a reserved job
+	loseReplyTo      string            // the reply to the first ACK or FAIL of this jid is lost
+	loseReportOf     string            // the first ACK or FAIL of this jid is lost
+	heartbeats       int
 }
 
 func startUpstream(t *testing.T) *upstreamServer {
@@ -41,10 +41,10 @@
 		t.Fatal(err)
 	}
 	upstream := &upstreamServer{
-		listener: listener,
-		reserved: map[string]string{},
-		closed:   map[string]int{},
-		closedBy: map[string]string{},
+		listener:       listener,
+		reserved:       map[string]string{},
+		reports:        map[string]int{},
+		lastReportVerb: map[string]string{},
 	}
 	t.Cleanup(func() { listener.Close() })
 	go upstream.acceptAll()
@@ -67,7 +67,7 @@
 	}
 }
 
-// serve answers the commands of one connection.
+// serve replies to the commands of one connection.
 func (u *upstreamServer) serve(conn net.Conn) {
 	defer conn.Close()
 	fmt.Fprintf(conn, "+HI {\"v\":2,\"s\":%q,\"i\":%d}\r\n", upstreamSalt, upstreamIterations)
@@ -86,7 +86,7 @@
 	}
 }
 
-// handle returns the answer to a command, and whether the connection stays open.
+// handle returns the reply to a command, and whether the connection stays open.
 func (u *upstreamServer) handle(verb, rest string) (answer string, open bool) {
 	switch verb {
 	case "HELLO":
@@ -102,7 +102,7 @@
 		}
 		return fmt.Sprintf("$%d\r\n%s\r\n", len(raw), raw), true
 	case "ACK", "FAIL":
-		if !u.close(verb, jidOf(rest)) {
+		if !u.recordReport(verb, jidOf(rest)) {
 			return "", false
 		}
 		return "+OK\r\n", true
@@ -117,8 +117,8 @@
 	return "-ERR Unknown command\r\n", true
 }
 
-// isValidHello reports whether a HELLO has a wid and the hash of the right
-// password.
+// isValidHello reports whether the argument of a HELLO has a wid and the hash of the
+// upstreamPassword.
 func isValidHello(rest string) bool {
 	var message hello
 	err := json.Unmarshal([]byte(rest), &message)
@@ -146,42 +146,42 @@
 	return raw, true
 }
 
-// close records an ACK or FAIL. It returns false if the connection must be closed
-// without an answer.
-func (u *upstreamServer) close(verb, jid string) bool {
+// recordReport records an ACK or FAIL. It returns false if the connection must be closed
+// without a reply.
+func (u *upstreamServer) recordReport(verb, jid string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if jid == u.loseCloseOf {
-		u.loseCloseOf = ""
+	if jid == u.loseReportOf {
+		u.loseReportOf = ""
 		u.queue = append(u.queue, u.reserved[jid]) // its reservation expires
 		return false
 	}
 	if u.reserved[jid] == "" {
-		u.unmatchedCloses++
+		u.unmatchedReports++
 	} else {
-		u.closed[jid]++
-		u.closedBy[jid] = verb
+		u.reports[jid]++
+		u.lastReportVerb[jid] = verb
 		delete(u.reserved, jid)
 	}
-	if jid == u.loseAnswerTo {
-		u.loseAnswerTo = ""
+	if jid == u.loseReplyTo {
+		u.loseReplyTo = ""
 		return false
 	}
 	return true
 }
 
-// isIdle reports whether the given number of jobs have been closed and none is
-// queued or reserved.
-func (u *upstreamServer) isIdle(closed int) bool {
+// isIdle reports whether the given number of jobs have been reported by ACK or FAIL
+// and none is queued or reserved.
+func (u *upstreamServer) isIdle(reported int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.closed) == closed && len(u.queue) == 0 && len(u.reserved) == 0
+	return len(u.reports) == reported && len(u.queue) == 0 && len(u.reserved) == 0
 }
 
-// closesOf returns how often a job has been closed, and the verb that closed it
-// last.
-func (u *upstreamServer) closesOf(jid string) (count int, verb string) {
+// reportsOf returns the number of ACKs and FAILs of a job, and the verb of the last
+// one.
+func (u *upstreamServer) reportsOf(jid string) (count int, verb string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.closed[jid], u.closedBy[jid]
+	return u.reports[jid], u.lastReportVerb[jid]
 }
--- a/internal/faktory/worker.go
+++ b/internal/faktory/worker.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	workerNamePrefix    = "faktory:"      // distinguishes wids from the names of workers from discovery
+	workerNamePrefix    = "faktory:"      // distinguishes wids from the names of workers in endpoint lists
 	rejoinTimeout       = time.Second     // after which a worker without connections is removed
-	runningBeforeWindow = 5 * time.Second // a worker that joins within this time of our start is taken to be running before
+	runningBeforeWindow = 5 * time.Second // a worker that joins this soon after the server's start is assumed to have started earlier
 
 	// maxStartMillis is the latest start time of a label, in Unix milliseconds: the largest that fits a time.Duration.
 	maxStartMillis = int64(math.MaxInt64 / time.Millisecond)
@@ -25,7 +25,7 @@
 const (
 	labelZone       = "zone"         // name of its zone
 	labelStarted    = "born_ms"      // when the worker started, in Unix milliseconds
-	labelFences     = "fences:1"     // it starts a job only when START is answered with OK
+	labelFences     = "fences:1"     // it starts a job only after the reply +OK to START
 	labelIdempotent = "idempotent:1" // it deduplicates jobs by jid
 )
 
@@ -34,8 +34,8 @@
 type registeredWorker struct {
 	server         *Server
 	name           string            // the wid with workerNamePrefix
-	endpoint       decision.Endpoint // as the dispatcher knows it, or will once the worker is listed
-	listed         bool              // the dispatcher knows the worker, as it has sent a FETCH
+	endpoint       decision.Endpoint // as the dispatcher knows it, or will know it once the worker is listed
+	listed         bool              // the dispatcher knows the worker, because the worker has sent a FETCH
 	guarantee      jobs.Guarantee
 	connections    int                // number of open ones
 	rejoinDeadline eventloop.Deadline // when the worker is removed; set while it has no connection
@@ -44,7 +44,7 @@
 	reservations  []*slotReservation // durable jobs that wait for its next FETCH before they are leased
 	awaitingFetch []*jobDelivery     // deliveries that wait for its next FETCH
 	inProgress    int                // number of jobs handed out and not closed by ACK or FAIL
-	maxSlots      int                // highest sum of parked FETCHes and jobs in progress so far
+	maxSlots      int                // maximum so far of parked FETCHes and jobs in progress together
 }
 
 // isRunning reports whether the worker takes jobs: it is neither draining nor
@@ -55,10 +55,10 @@
 // for the worker's next FETCH.
 func (w *registeredWorker) maxWaiting() int { return max(w.maxSlots, 1) }
 
-// registerWorker records a connection of a wid. A new wid is taken for a worker
-// that has just started, which is subject to slow start. Exceptions are a worker
-// that joins right after our own start, a worker that joins when no other is
-// running, and one whose label gives another start time.
+// registerWorker records a connection of a wid. A worker with a new wid is assumed to
+// have just started, and is subject to slow start. Exceptions are a worker that joins
+// right after the start of this server, a worker that joins when no other is running,
+// and one whose label gives another start time.
 func (s *Server) registerWorker(message hello) *registeredWorker {
 	worker := s.workers[workerNamePrefix+message.Wid]
 	if worker == nil {
@@ -76,7 +76,7 @@
 	return worker
 }
 
-// newWorker returns a worker that is not listed at the dispatcher yet.
+// newWorker returns a worker that the dispatcher does not know yet.
 func (s *Server) newWorker(message hello) *registeredWorker {
 	now := s.dispatcher.Loop.Now()
 	worker := &registeredWorker{server: s, name: workerNamePrefix + message.Wid}
@@ -131,8 +131,8 @@
 	}
 }
 
-// connectionClosed records that a connection of the worker is closed. After the
-// last one the worker is removed unless it reconnects within rejoinTimeout.
+// connectionClosed records that a connection of the worker is closed. If it was the
+// last one, the worker is removed unless it reconnects within rejoinTimeout.
 func (w *registeredWorker) connectionClosed() {
 	w.connections--
 	if w.connections == 0 {
