--- a/internal/jobs/lease.go
+++ b/internal/jobs/lease.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Assign leases a ready job to a worker with the given guarantee. The job is delivered once the lease is stored. Assign
-// returns nil if the job is not ready, or if it requires a worker that Deduplicates and this one does not.
+// Assign leases a Ready job to a worker with the given guarantee. The job is delivered once the lease is stored. Assign
+// returns nil if the job is not Ready, or if it requires a worker that Deduplicates and this worker does not.
 func (m *Machine) Assign(now time.Duration, id, worker string, guarantee Guarantee) []Effect {
 	entry := m.jobs[id]
 	if entry == nil || entry.State != Ready || entry.RequiresDeduplication && guarantee != Deduplicates {
@@ -23,12 +23,12 @@
 	return m.takeEffects()
 }
 
-// leaseDuration is how long a lease on a job lasts without a heartbeat.
+// leaseDuration returns how long a lease on a job lasts without a heartbeat.
 func (m *Machine) leaseDuration(entry *jobEntry) time.Duration {
 	return cmp.Or(entry.LeaseDuration, m.config.LeaseDuration)
 }
 
-// leaseStatus says whether the fence of a worker's report belongs to a lease on the job.
+// leaseStatus is the status of the lease to which the fence of a worker's report belongs.
 type leaseStatus uint8
 
 const (
@@ -37,9 +37,10 @@
 	leaseExpired                    // its worker held the job until the lease ended, and may have run it
 )
 
-// checkFence compares the fence of a report with the job's newest lease; all reports are checked by it. NoFence never
-// matches: both a job that was never leased and a report without a fence have it. A job whose newest lease was returned
-// before it started, or was never delivered, has no Worker, so nobody can have run it under that lease.
+// checkFence compares the fence of a report with the job's newest lease. All reports are checked by it. NoFence never
+// matches, because both a job that was never leased and a report without a fence have it. If the newest lease was
+// returned before the job started, or was never delivered, the job has no Worker, and no worker can have run it under
+// that lease.
 func (m *Machine) checkFence(entry *jobEntry, fence uint64) leaseStatus {
 	switch {
 	case entry == nil:
@@ -85,7 +86,8 @@
 	}
 }
 
-// Extend renews one lease until a time that its worker asks for.
+// Extend renews the lease on one job until a time that its worker requests. It does nothing if the lease is void or has
+// expired.
 func (m *Machine) Extend(id string, fence uint64, until time.Duration) {
 	entry := m.jobs[id]
 	if m.checkFence(entry, fence) == leaseInForce {
@@ -117,9 +119,9 @@
 	return m.takeEffects()
 }
 
-// Fail handles a worker's report that a job failed. With started false the worker says that the job never started, so
-// the job may run again, idempotent or not. Otherwise an idempotent job is retried, and a non-idempotent one is Dead,
-// as it ran.
+// Fail handles a worker's report that a job failed. If started is false, the worker reports that the job never started,
+// so it may run again even if it is non-idempotent. Otherwise an idempotent job is retried, and a non-idempotent one
+// becomes Dead, because it has run.
 func (m *Machine) Fail(now time.Duration, id string, fence uint64, reason Reason, started bool) []Effect {
 	entry := m.jobs[id]
 	if entry == nil {
@@ -145,7 +147,7 @@
 	return m.takeEffects()
 }
 
-// releaseUnstarted makes a job ready again whose lease ended before the job started. The lease does not count as an
+// releaseUnstarted makes a job Ready again after its lease ended before the job started. The lease does not count as an
 // attempt.
 func (m *Machine) releaseUnstarted(entry *jobEntry) {
 	m.setState(entry, Ready)
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Config sets the durations and limits of a Machine. A zero field takes its default.
+// Config sets the durations and limits of a Machine. A field that is zero has its default.
 type Config struct {
 	LeaseDuration  time.Duration // how long a lease lasts without a heartbeat; default 60 s
 	RecoveryGrace  time.Duration // minimum duration of leases after Recover, in which workers can reconnect; default 60 s
-	MaxAttempts    int           // of an idempotent job; default 5
+	MaxAttempts    int           // maximum number of attempts of an idempotent job; default 5
 	InitialBackoff time.Duration // wait before the second attempt, doubled before each further one; default 1 s
-	Retention      time.Duration // how long a Done or Discarded job, and its id, is kept; default 24 h
+	Retention      time.Duration // how long a Done or Discarded job and its id are kept; default 24 h
 	DeadRetention  time.Duration // how long a Dead job is kept; default 180 days
 
-	ignoreFences bool // for tests that show that the checkers find the faults of a machine without fences
+	ignoreFences bool // for tests which show that their checks find the faults of a machine that ignores fences
 }
 
 // The defaults of Config.
@@ -44,11 +44,11 @@
 	counts         [stateCount]int                 // jobs by state
 	readyByClass   map[string]int                  // jobs that are Ready, by class
 	inOrder        []*jobEntry                     // all jobs by sequence number; may still hold removed ones
-	removedInOrder int                             // how many of inOrder are removed
+	removedInOrder int                             // number of removed jobs that inOrder still holds
 
 	// State of the method call in progress.
-	effects     []Effect    // to be returned
-	becameReady []*jobEntry // announced after all other effects
+	effects     []Effect    // effects that the call returns
+	becameReady []*jobEntry // jobs that are announced after all other effects
 }
 
 // jobEntry is a job with the effects that wait for it to be stored.
@@ -97,7 +97,7 @@
 	return effects
 }
 
-// add adds a job whose state is already set.
+// add adds a new job, whose state is already set. It does not call index.
 func (m *Machine) add(entry *jobEntry) {
 	m.jobs[entry.ID] = entry
 	m.inOrder = append(m.inOrder, entry)
@@ -125,9 +125,9 @@
 	m.removedInOrder = 0
 }
 
-// setState changes a job's state and updates the indexes that depend on it. The caller must have set DueAt before if
-// the new state is due at a time, and Worker if the new state is a lease. A job that leaves a lease must still have the
-// Worker of that lease.
+// setState changes a job's state and updates the indexes that depend on it. The caller must set DueAt beforehand if the
+// new state is due at a time, and Worker if the new state is Leased or Started. A job that leaves one of these two
+// states must still have the Worker of its lease.
 func (m *Machine) setState(entry *jobEntry, newState State) {
 	if entry.State.IsHeld() {
 		leases := m.leasesByWorker[entry.Worker]
@@ -158,7 +158,7 @@
 	}
 }
 
-// finish ends a job, which is kept for its retention.
+// finish sets the final state of a job and the time until which the job is kept.
 func (m *Machine) finish(now time.Duration, entry *jobEntry, finalState State) {
 	entry.DueAt = now + m.config.Retention
 	if finalState == Dead {
@@ -167,14 +167,14 @@
 	m.setState(entry, finalState)
 }
 
-// store increases a changed job's version and emits the effect that stores it.
+// store increases the version of a changed job and emits the effect that stores the job.
 func (m *Machine) store(entry *jobEntry) {
 	entry.Version++
 	m.emit(Effect{Kind: StoreJob, Job: entry.Job})
 }
 
-// storeThen stores a changed job, and emits an effect of that kind, with a copy of the job as it is now, once that is
-// stored.
+// storeThen stores a changed job. Once this version is stored, it emits an effect of the given kind with a copy of this
+// version.
 func (m *Machine) storeThen(entry *jobEntry, kind EffectKind) {
 	m.store(entry)
 	m.afterStored(entry, Effect{Kind: kind, Job: entry.Job})
