--- a/internal/rehearsal/soak/connection.go
+++ b/internal/rehearsal/soak/connection.go
@@ -28,7 +28,7 @@
 	return &clientConnection{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// isOpen reports whether the connection is open and has no unread input. It does not wait.
+// isOpen reports whether the dispatcher has kept the connection open and there is no unread input. It does not block.
 func (c *clientConnection) isOpen() bool {
 	raw, err := c.conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -44,8 +44,8 @@
 	return open
 }
 
-// exchange sends a request, reads the answer and records the result in the request. It closes the connection if it cannot
-// be reused.
+// exchange sends a request, waits up to the given time for the answer, and records the result in sent. It closes the
+// connection if it cannot be reused.
 func (c *clientConnection) exchange(sent *request, wait time.Duration) {
 	sent.sentAt = time.Now()
 	sent.reusedConnection = c.served
@@ -86,7 +86,7 @@
 // isClosed reports whether the client has closed the connection.
 func (c *clientConnection) isClosed() bool { return c.conn == nil }
 
-// maxIdleConnections is the largest number of idle connections in a connectionPool.
+// maxIdleConnections is the maximum number of idle connections in a connectionPool.
 const maxIdleConnections = 10
 
 // connectionPool holds the idle connections of the clients of one dispatcher. The connection that was used last is reused
--- a/internal/rehearsal/soak/injection.go
+++ b/internal/rehearsal/soak/injection.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// injectFault waits for the time of a fault and injects it. number is the index of the fault in the schedule.
+// injectFault waits until the start of a fault and injects it. number is the index of the fault in the schedule.
 func (r *run) injectFault(ctx context.Context, number int, injected fault) {
 	if !sleep(ctx, injected.start) {
 		return
@@ -41,8 +41,8 @@
 	}
 }
 
-// drainUnnotified makes the watches and answers of the discovery service stop in the middle of a line, and drains some
-// workers in the meantime, so that dispatchers are not notified.
+// drainUnnotified makes the watches and answers of the discovery service stop in the middle of a line. Meanwhile it
+// drains some workers, of which the dispatchers are therefore not notified.
 func (r *run) drainUnnotified(ctx context.Context, injected fault) {
 	const (
 		leadTime     = 200 * time.Millisecond // time between the beginning of the discovery faults and the drains
@@ -76,7 +76,8 @@
 	target.launchAndAwait()
 }
 
-// pauseDaemon stops a dispatcher's process by SIGSTOP for the given time, unless another fault has claimed the dispatcher.
+// pauseDaemon stops a dispatcher's process by SIGSTOP for the given time, unless another fault has claimed the
+// dispatcher.
 func pauseDaemon(ctx context.Context, target *daemon, duration time.Duration) {
 	if !target.tryClaim() {
 		return
@@ -89,8 +90,8 @@
 	_ = process.Signal(syscall.SIGCONT)
 }
 
-// drainWorker lists a worker as draining, removes it from the list and lists it again as ready,
-// unless another fault has claimed the worker. The stand-in continues to run.
+// drainWorker lists a worker as draining, removes it from the list after half of duration, and lists it as ready again
+// at the end of duration, unless another fault has claimed the worker. The stand-in continues to run.
 func (r *run) drainWorker(ctx context.Context, target *worker, duration time.Duration) {
 	if !target.tryClaim() {
 		return
