--- a/cmd/dispatcher/crowd_test.go
+++ b/cmd/dispatcher/crowd_test.go
@@ -12,19 +12,19 @@
 )
 
 // These tests guard against silent connections that delay clients. A crowd of connections that send nothing took all
-// descriptors, and clients with little time left that connected right after it were answered after 1.22 to 1.29 s, or
-// not within their time plus a second.
+// descriptors. Clients with little time left that connected right after the crowd were answered after 1.22 to 1.29 s,
+// or were not answered within their time left plus a second.
 //
 // The cause: when the limit of open connections is reached, new connections wait in the kernel's queue, and a silent
-// connection was not evicted in its first second. Proven connections were evicted instead, so that clients with open
-// connections had to wait in that queue, too. The delay followed this grace time: answers came 1.00 to 1.04 s after
-// their requests, and after 1.49 s when the grace time was set to 1.5 s in a trial.
+// connection was not evicted in its first second. Connections in the stage connlimit.Proven were evicted
+// instead, so that their clients had to wait in that queue, too. The delay depended on this grace time of one second:
+// answers came 1.00 to 1.04 s after their requests, and after 1.49 s when the grace time was set to 1.5 s in a trial.
 
 const (
 	crowdDescriptors = 512
 	crowdClients     = 12
 	crowdTimeLeft    = 400 * time.Millisecond
-	answerSlack      = 500 * time.Millisecond // an answer that is later than its time by more than this fails the test
+	answerSlack      = 500 * time.Millisecond // an answer fails the test if it is later than its request's time left by more than this
 )
 
 // crowdClient sends requests with little time left, on a connection that it keeps open.
@@ -46,7 +46,8 @@
 }
 
 // request sends a request, and returns an error if it is not answered in time. If the connection is closed before the
-// first byte of an answer, the request may have crossed the close, and is sent once more, on a new connection.
+// first byte of an answer, the daemon may have closed it before the request arrived. The request is then sent once
+// more, on a new connection.
 func (c *crowdClient) request(id string) error {
 	var err error
 	for try := range 2 {
@@ -119,7 +120,7 @@
 	opened.Wait()
 }
 
-// crowdTest says how many connections a crowd has and when they are opened.
+// crowdTest describes the number of connections of a crowd and when they are opened.
 type crowdTest struct {
 	name      string
 	size      int
@@ -127,7 +128,7 @@
 	headStart time.Duration // from the last connection of the crowd to the clients' first requests on new connections
 }
 
-// While a crowd of silent connections is open, clients get their answers in time, on connections that they keep open
+// While a crowd of silent connections is open, clients are answered in time, both on connections that they keep open
 // and on new ones.
 func TestSilentCrowdHoldsNobodyUp(t *testing.T) {
 	for _, test := range []crowdTest{
@@ -140,8 +141,8 @@
 	}
 }
 
-// runCrowd opens a crowd while clients send on connections that they keep open. After it, other clients send on new
-// connections.
+// runCrowd opens a crowd while clients send requests on connections that they keep open. Once the crowd is connected,
+// other clients send requests on new connections.
 func runCrowd(t *testing.T, test crowdTest) {
 	daemon := &testDaemon{t: t, config: limitedDescriptors(crowdDescriptors)}
 	daemon.addWorker("s-1", respondDone)
@@ -168,7 +169,7 @@
 	close(crowdConnected)
 	clients.Wait()
 	if descriptors := daemon.openDescriptors(); descriptors > crowdDescriptors {
-		t.Errorf("%d descriptors, at most %d", descriptors, crowdDescriptors)
+		t.Errorf("%d open descriptors, want at most %d", descriptors, crowdDescriptors)
 	}
 }
 
--- a/cmd/dispatcher/handover_golden_test.go
+++ b/cmd/dispatcher/handover_golden_test.go
@@ -15,7 +15,7 @@
 	"hollyyoke.example/hollyyoke/internal/handover"
 )
 
-// In these tests the program under test is one side of a handover. The test is the other
+// In these tests the program under test is one side of a handover. The test acts as the other
 // side, and sends the messages that earlier builds send.
 
 // maskedValues are the parts of messages that differ between runs.
@@ -38,7 +38,7 @@
 	return line
 }
 
-// testPeer has the part of the peer process of the program under test.
+// testPeer acts as the peer process of the program under test.
 type testPeer struct {
 	t          *testing.T
 	conn       net.Conn
@@ -61,8 +61,8 @@
 	}
 }
 
-// receive reads messages until one begins with a key, and adds this one to the transcript,
-// masked. It ignores the others, since they may arrive at any time.
+// receive reads messages until one has the given first key. It adds this message, masked, to
+// the transcript, and ignores the others, because they may arrive at any time.
 func (p *testPeer) receive(key string) {
 	p.t.Helper()
 	for {
@@ -121,8 +121,8 @@
 	return newPeer(d.t, conn)
 }
 
-// A predecessor sends the messages in the golden file to its successor, from its connecting to
-// the shutdown.
+// From the successor's connection to its own shutdown, a predecessor sends the messages in the
+// golden file.
 func TestGoldenPredecessor(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
 	first := daemon.addWorker("s-1", respondDone)
@@ -156,7 +156,7 @@
 	goldentest.Compare(t, "handover-predecessor.jsonl", successor.transcript.String())
 }
 
-// A successor applies each message of its predecessor, and sends the messages in the golden
+// A successor acts on each message of its predecessor, and sends the messages in the golden
 // file.
 func TestGoldenSuccessor(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
@@ -184,7 +184,7 @@
 	daemon.waitUntil("in service", func() bool { return daemon.health() == 200 })
 	status := daemon.postStatus("renewal", "by-the-list")
 	if status != 200 || len(greeted.requests()) != 0 || len(listed.requests()) != 1 {
-		t.Errorf("a request after the new list: %d; the workers got %q and %q", status, greeted.requests(), listed.requests())
+		t.Errorf("a request after the new list: status %d; the workers received %q and %q", status, greeted.requests(), listed.requests())
 	}
 	predecessor.receive("names")
 	predecessor.send(`{"discovery":"` + moved.Addr().String() + `"}`)
