--- a/internal/faktory/fuzz_test.go
+++ b/internal/faktory/fuzz_test.go
@@ -11,8 +11,8 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
-// keyedWorker is a worker client with one worker, whose attempts end at once with
-// the outcome that the key of the job names.
+// keyedWorker is a worker client with one worker. Each attempt ends at once, with the
+// outcome that the key of the job selects.
 type keyedWorker struct{ dispatcher *dispatch.Dispatcher }
 
 func (w keyedWorker) Start(attempt dispatch.Attempt) {
@@ -36,8 +36,8 @@
 // jid each time that it is sent.
 type sessionCommand struct {
 	text string
-	want string // prefix of its answer
-	ends bool   // the server closes the connection after it
+	want string // prefix of the reply
+	ends bool   // the server closes the connection after the reply
 }
 
 func (c sessionCommand) isHello() bool { return strings.HasPrefix(c.text, "HELLO") }
@@ -58,14 +58,14 @@
 	{`END`, "+OK", true},
 }
 
-// sessionModel predicts the answers on a producer's connection.
+// sessionModel predicts the replies on a producer's connection.
 type sessionModel struct {
-	want    []string // prefix of each answer
-	greeted bool     // a command has been sent
+	want    []string // prefix of each reply
+	greeted bool     // a command has been sent; from then on HELLO is rejected
 	ended   bool     // the server closes the connection
 }
 
-// send adds the expected answer to a command.
+// send adds the expected reply to a command.
 func (m *sessionModel) send(command sessionCommand) {
 	want := command.want
 	ends := command.ends
@@ -81,19 +81,19 @@
 	m.ended = m.ended || ends
 }
 
-// check reads all answers and compares them with the expected ones.
+// check reads all replies and compares them with the expected ones.
 func (m *sessionModel) check(t *testing.T, c *client) {
 	t.Helper()
 	for i, want := range m.want {
 		got, err := c.readReply()
 		if err != nil || !strings.HasPrefix(got, want) {
-			t.Fatalf("answer %d: %q, %v; want %q of %q", i, got, err, want, m.want)
+			t.Fatalf("reply %d: %q, %v; want %q of %q", i, got, err, want, m.want)
 		}
 	}
 	if m.ended {
 		rest, _ := io.ReadAll(c.reader)
 		if len(rest) > 0 {
-			t.Fatalf("after the last answer: %q", rest)
+			t.Fatalf("received after the last reply: %q", rest)
 		}
 	}
 }
@@ -109,13 +109,13 @@
 	c.conn.Write([]byte(line[cut:]))
 }
 
-// maxSessionBytes bounds the input of FuzzSession, which has two bytes for each
-// command.
+// maxSessionBytes limits the bytes of input that FuzzSession uses. Each command takes
+// two bytes.
 const maxSessionBytes = 60
 
 // FuzzSession checks a producer's connection against a model: each command gets
-// exactly one answer, in order, however its bytes are split; before HELLO only
-// HELLO and END are accepted, and HELLO is accepted once.
+// exactly one reply, in order, however its bytes are split; before HELLO only HELLO
+// and END are accepted, and HELLO is accepted once.
 func FuzzSession(f *testing.F) {
 	f.Add([]byte{0, 0, 1, 0, 2, 0, 3, 0, 4, 0, 5, 0, 6, 0, 7, 0, 8, 0, 9, 0, 10, 0, 11, 0, 12, 0})
 	f.Add([]byte{0, 9, 1, 200, 0, 3, 12, 12, 1, 1})
--- a/internal/faktory/transcript_test.go
+++ b/internal/faktory/transcript_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// volatileFields matches the parts of answers that differ from run to run, such as
+// volatileFields matches the parts of replies that differ from run to run, such as
 // times, salts and fences.
 var volatileFields = regexp.MustCompile(`"(now|updated_at|s)":"[^"]*"|"(uptime|connections|command_count|fence)":\d+|retry after \d+\.\d{3} s`)
 
@@ -23,7 +23,7 @@
 }
 
 // transcript sends commands on several connections, one after the other, and
-// records the commands and the answers byte by byte, except for volatile fields.
+// records the commands and the replies byte by byte, except for volatile fields.
 type transcript struct {
 	t           *testing.T
 	address     string
@@ -76,14 +76,14 @@
 	return reply
 }
 
-// do sends a command and waits for its answer.
+// do sends a command, waits for the reply, and records both.
 func (s *transcript) do(name, command string) string {
 	s.t.Helper()
 	s.send(name, command)
 	return s.answer(name)
 }
 
-// doAll sends commands, each after the answer to the one before it.
+// doAll sends commands, each after the reply to the one before it.
 func (s *transcript) doAll(name string, commands ...string) {
 	s.t.Helper()
 	for _, command := range commands {
@@ -91,7 +91,8 @@
 	}
 }
 
-// fetch sends FETCH until there is a job. Only the FETCH that got it is recorded.
+// fetch sends FETCH until there is a job. It records only the last FETCH and its
+// reply.
 func (s *transcript) fetch(name, queues string) string {
 	s.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
@@ -103,7 +104,7 @@
 		s.text.Reset()
 		s.text.WriteString(before)
 	}
-	s.t.Fatal("no job")
+	s.t.Fatal("FETCH returned no job in time")
 	return ""
 }
 
