--- a/internal/rehearsal/soak/connection.go
+++ b/internal/rehearsal/soak/connection.go
@@ -89,8 +89,9 @@
 // maxIdleConnections is the maximum number of idle connections in a connectionPool.
 const maxIdleConnections = 10
 
-// connectionPool holds the idle connections of the clients of one dispatcher. The connection that was used last is reused
-// first, so that the others can stay idle until the dispatcher closes them. A connectionPool is safe for concurrent use.
+// connectionPool holds the idle connections of the clients of one dispatcher. The connection that was used last is
+// reused first, so that the others can stay idle until the dispatcher closes them. A connectionPool is safe for
+// concurrent use.
 type connectionPool struct {
 	mutex sync.Mutex
 	idle  []*clientConnection
--- a/internal/rehearsal/soak/faults.go
+++ b/internal/rehearsal/soak/faults.go
@@ -20,7 +20,7 @@
 	faultDiscoveryDown                       // requests to the discovery service get 503, and watches end
 	faultDiscoverySilent                     // watches stop sending in the middle of a line
 	faultDiscoveryTruncates                  // the answer to a new request stops in the middle of its first line
-	faultUnnotifiedDrain                     // both of these, while workers drain and are removed
+	faultUnnotifiedDrain                     // faultDiscoverySilent and faultDiscoveryTruncates, while workers drain and are removed
 	faultRetire                              // like faultDrain, for a longer time
 	faultConnectionFlood                     // silent connections fill a dispatcher's descriptors
 	faultKinds                               // number of kinds
@@ -60,7 +60,7 @@
 	oneByOne         bool         // the connections of a flood are opened one by one instead of at once
 }
 
-// maxDuration has the longest duration of a fault, by kind. Kinds without an entry have no duration.
+// maxDuration is the maximum duration of a fault, by kind. Kinds without an entry have no duration.
 var maxDuration = [faultKinds]time.Duration{
 	faultKill:               2 * time.Second,
 	faultRestart:            4 * time.Second,
@@ -76,13 +76,13 @@
 	faultConnectionFlood:    2 * time.Second,
 }
 
-// minUnnotifiedDrain is the shortest duration of a faultUnnotifiedDrain.
+// minUnnotifiedDrain is the minimum duration of a faultUnnotifiedDrain.
 const minUnnotifiedDrain = 10 * time.Second
 
-// maxFaultInterval is the longest time between the starts of two faults.
+// maxFaultInterval is the maximum time from the start of a fault to the start of the next one.
 const maxFaultInterval = 2 * time.Second
 
-// scheduleFaults draws the faults of a seed. They overlap: on average, one begins each second.
+// scheduleFaults returns the random faults that follow from a seed. They overlap: on average, one begins each second.
 func scheduleFaults(seed uint64, config Config) []fault {
 	random := rand.New(rand.NewPCG(seed, faultScheduleStream))
 	var faults []fault
@@ -94,7 +94,7 @@
 	return faults
 }
 
-// drawFault draws the kind, the duration and the target of a fault.
+// drawFault returns a fault with a random kind, duration and target, which begins at start.
 func drawFault(start time.Duration, config Config, random *rand.Rand) fault {
 	drawn := fault{kind: faultKind(random.IntN(int(faultKinds))), start: start}
 	if longest := maxDuration[drawn.kind]; longest > 0 {
@@ -105,7 +105,7 @@
 		// The first dispatchers are traced and left out, because signals interfere with ptrace.
 		drawn.target = config.TracedDaemons + random.IntN(config.Daemons-config.TracedDaemons)
 	case faultDrain, faultRemove, faultHang, faultReset, faultRetire, faultUnnotifiedDrain:
-		drawn.target = random.IntN(config.Workers * 2 / 3) // the other workers have no such faults, so that requests can be served
+		drawn.target = random.IntN(config.Workers * 2 / 3) // the last third of the workers has no such faults, so that requests can be served
 	}
 	switch drawn.kind {
 	case faultRestart:
--- a/internal/rehearsal/soak/replacement.go
+++ b/internal/rehearsal/soak/replacement.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	replacedDaemons          = 2               // additional dispatchers whose processes are replaced by successors
-	replacementStreamBase    = 20_000          // first random stream of these dispatchers
+	replacedDaemons          = 2               // number of additional dispatchers whose processes are replaced by successors
+	replacementStreamBase    = 20_000          // first stream number of the random sources for these dispatchers
 	minReplacementPause      = 2 * time.Second // between two replacements
 	maxReplacementPause      = 5 * time.Second
-	successorTimeout         = 15 * time.Second // time within which a successor must accept clients
+	successorTimeout         = 15 * time.Second // a successor must accept clients within this time
 	firstInheritedDescriptor = 3
 
 	// successorServesText is what a predecessor logs once its successor accepts clients.
 	successorServesText = "successor is accepting clients"
 )
 
-// prepareReplaced prepares the dispatchers whose processes are replaced. They inherit their listeners from this process, as
-// they do from the platform in production.
+// prepareReplaced prepares the dispatchers whose processes are replaced. They inherit their listeners from this
+// process, as they do from the platform in production.
 func (r *run) prepareReplaced() error {
 	random := rand.New(rand.NewPCG(r.config.Seed, replacementStreamBase))
 	for number := range replacedDaemons {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// inheritListener opens the dispatcher's listener, which all its processes inherit, and creates a directory for its files,
-// through which predecessor and successor find each other.
+// inheritListener opens the dispatcher's listener, which all its processes inherit. It also creates a directory for its
+// files, by which predecessor and successor find each other.
 func (d *daemon) inheritListener(dir string) error {
 	d.dir = filepath.Join(dir, d.name)
 	if err := os.Mkdir(d.dir, 0o700); err != nil {
@@ -59,8 +59,8 @@
 	return err
 }
 
-// replaceRepeatedly replaces the dispatcher's process by a successor at random intervals, until ctx ends or a replacement
-// fails.
+// replaceRepeatedly replaces the dispatcher's process by a successor at random intervals, until ctx ends or a
+// replacement fails.
 func (r *run) replaceRepeatedly(ctx context.Context, target *daemon, random *rand.Rand) {
 	pause := func() time.Duration {
 		return minReplacementPause + time.Duration(random.Int64N(int64(maxReplacementPause-minReplacementPause)))
@@ -75,7 +75,7 @@
 	}
 }
 
-// replace starts a successor. Once the successor accepts clients, it ends the predecessor by a series of signals.
+// replace starts a successor. Once the successor accepts clients, replace ends the predecessor by a series of signals.
 func (d *daemon) replace(series signalSeries) error {
 	predecessor, predecessorAdmin := d.currentProcess(), d.adminAddress()
 	adminAddress, err := childprocess.FreeAddress()
@@ -107,7 +107,7 @@
 // countReplacements adds the number of replacements to the report. If the run was long enough for a replacement of each
 // dispatcher, a dispatcher without one is a violation.
 func (c *ruleChecker) countReplacements() {
-	const leadTime = successorTimeout // time that the first replacement may take
+	const leadTime = successorTimeout // maximum duration of the first replacement
 	for _, target := range c.run.replaced {
 		made := int(target.replacements.Load())
 		c.report.Replacements += made
--- a/internal/rehearsal/soak/timeline.go
+++ b/internal/rehearsal/soak/timeline.go
@@ -8,8 +8,8 @@
 // excuse is a cause for which the rules accept that a request has no answer in time.
 type excuse string
 
-// The excuses. Only SIGKILL and SIGSTOP excuse a missing answer. SIGKILL excuses only requests that were in flight or for
-// which no connection could be opened.
+// The excuses. Only SIGKILL and SIGSTOP excuse a missing answer. SIGKILL excuses only requests that were in flight or
+// for which no connection could be opened.
 const (
 	excuseKilledInFlight excuse = "killed, in flight"
 	excuseKilledRefused  excuse = "killed, not accepted"
@@ -51,8 +51,8 @@
 	}
 }
 
-// recordKill records a SIGKILL. Clients still try to open connections for a short time, until they have noticed that the
-// process is gone.
+// recordKill records a SIGKILL. Clients still try to open connections for a short time, until they have noticed that
+// the process is gone.
 func (t *timeline) recordKill() {
 	const noticeTime = 300 * time.Millisecond
 	t.mutex.Lock()
@@ -78,7 +78,8 @@
 	t.shutdowns[len(t.shutdowns)-1].killedAt = time.Now()
 }
 
-// beginInterval adds an interval that begins now to a list of the timeline, and returns a function that ends it.
+// beginInterval adds an interval that begins now to a list of the timeline. The function that it returns ends the
+// interval.
 func (t *timeline) beginInterval(list *[]interval) (end func()) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -121,8 +122,9 @@
 func (t *timeline) wasStopped(from, to time.Time) bool { return t.overlapsAny(&t.stops, from, to) }
 func (t *timeline) wasFlooded(from, to time.Time) bool { return t.overlapsAny(&t.floods, from, to) }
 
-// killedAfterTerm returns the first shutdown that was cut off by a kill between from and to, if there is one.
-func (t *timeline) killedAfterTerm(from, to time.Time) (cutOff shutdown, found bool) {
+// killedAfterTerm returns the first shutdown whose process was killed between from and to because it took too long.
+// found is false if there is none.
+func (t *timeline) killedAfterTerm(from, to time.Time) (killed shutdown, found bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, one := range t.shutdowns {
