--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The known clients' load, by class.
+// The load of the known clients, which connect from the known prefixes of the operator file, by class.
 const (
 	classStatusCheck     = "status-check"
 	statusCheckObjective = 250 * time.Millisecond
@@ -19,11 +19,12 @@
 	renewalObjective = 200 * time.Millisecond
 	renewalDeadline  = 8 * time.Second
 	renewalWork      = 40 * time.Millisecond
-	renewalShare     = 4 // one in this many requests is a renewal
+	renewalShare     = 4 // every fourth request is a renewal
 )
 
-// floodCmd sends requests of known clients together with hostile load, with connection admission on and off. It fails only
-// if a rule was violated. It reports the quality of service and does not judge it.
+// floodCmd measures the service to known clients while hostile clients connect, in several parts: by default one with
+// connection admission and one without. Each part starts a new daemon. The command fails only if a part violated a rule;
+// it reports the quality of service, but does not fail if that is poor.
 type floodCmd struct {
 	Operator           string        `default:"deploy/operator.toml" help:"The daemon's operator file, whose known prefixes must include 127.9.0.0/24."`
 	Hostile            int           `default:"5000" help:"Number of concurrent hostile clients."`
@@ -49,7 +50,7 @@
 	return c.runAdmission(env)
 }
 
-// runAdmission compares the service with connection admission on and off.
+// runAdmission runs one part with connection admission and one without, and first, on request, one without hostile clients.
 func (c *floodCmd) runAdmission(env *environment) error {
 	var parts []floodPart
 	if c.Alone {
@@ -70,17 +71,18 @@
 	return checkFloodRules(results)
 }
 
-// The load of an exhaustion run, relative to that of the flags.
+// The load of runExhaustion, relative to the flags Rate and Hostile.
 const (
 	exhaustionRateFactor     = 2
 	exhaustionHostileDivisor = 25
 )
 
-// runExhaustion compares the service with all descriptors and with none left in the middle third of the run.
+// runExhaustion runs one part with all descriptors, and one in which the daemon has no descriptors left in the middle
+// third of the part.
 func (c *floodCmd) runExhaustion(env *environment) error {
 	c.Rate *= exhaustionRateFactor
 	hostileClients := c.Hostile / exhaustionHostileDivisor
-	var normalCPU, exhaustedCPU time.Duration // of the daemon, in the middle third of the run
+	var normalCPU, exhaustedCPU time.Duration // of the daemon, in the middle third of a part
 	results, err := c.runParts([]floodPart{
 		{name: "whole", operatorFile: c.Operator, hostileClients: hostileClients, duringLoad: c.measureMiddleThird(&normalCPU)},
 		{name: "starved", operatorFile: c.Operator, hostileClients: hostileClients, duringLoad: c.exhaustMiddleThird(&exhaustedCPU)},
--- a/cmd/rehearse/floodpart.go
+++ b/cmd/rehearse/floodpart.go
@@ -24,7 +24,7 @@
 	firstKnownClient   = "127.9.0.1"
 	floodWorkers       = 9
 	floodLead          = time.Second     // time from the start of a part to the first request of known clients
-	hostileOverrun     = 2 * time.Second // by how much longer hostile clients run than known clients send
+	hostileOverrun     = 2 * time.Second // how much longer hostile clients run than known clients send
 	knownKeys          = 997             // number of different keys of known clients' requests
 	exhaustedLimit     = 16              // the daemon's descriptor limit while descriptors are exhausted
 	maxConnectionsJSON = 64 << 10        // bytes of the admin API's answer
@@ -104,7 +104,7 @@
 	return recording.NewReader(&file)
 }
 
-// knownEntry returns the known clients' request with a number, from 0.
+// knownEntry returns the entry of the known clients' request with the given number, which starts at 0.
 func (c *floodCmd) knownEntry(number int) recording.Entry {
 	entry := recording.Entry{
 		Arrival:  floodLead + time.Duration(float64(number)/c.Rate*float64(time.Second)),
@@ -123,7 +123,7 @@
 	return entry
 }
 
-// startFleet starts the daemon and its stand-ins.
+// startFleet starts the daemon and the stand-ins for its workers. Connection admission is off if operatorFile is empty.
 func (c *floodCmd) startFleet(dir, operatorFile string) (*standin.Fleet, error) {
 	daemon, err := daemonPath(c.Daemon)
 	if err != nil {
@@ -170,7 +170,7 @@
 	return counts
 }
 
-// replayKnown sends the known clients' requests.
+// replayKnown sends the known clients' requests from consecutive addresses, and announces each one to the fleet's ledger.
 func (c *floodCmd) replayKnown(reader *recording.Reader, fleet *standin.Fleet) (*replay.Result, error) {
 	addresses := []netip.Addr{netip.MustParseAddr(firstKnownClient)}
 	for len(addresses) < c.Clients {
@@ -209,7 +209,7 @@
 }
 
 // measureMiddleThird returns a function for floodPart.duringLoad that stores the processor time that the daemon uses in
-// the middle third.
+// the middle third of the part.
 func (c *floodCmd) measureMiddleThird(spent *time.Duration) func(*standin.Fleet) {
 	return func(fleet *standin.Fleet) {
 		time.Sleep(floodLead + c.Duration/3)
@@ -219,8 +219,8 @@
 	}
 }
 
-// exhaustMiddleThird is measureMiddleThird with the daemon's descriptor limit lowered for that third. If the limit
-// cannot be read, nothing is measured.
+// exhaustMiddleThird is like measureMiddleThird, and lowers the daemon's descriptor limit for that third. If the limit
+// cannot be read, it neither lowers it nor stores a time.
 func (c *floodCmd) exhaustMiddleThird(spent *time.Duration) func(*standin.Fleet) {
 	return func(fleet *standin.Fleet) {
 		time.Sleep(floodLead + c.Duration/3)
@@ -235,7 +235,8 @@
 	}
 }
 
-// lowerDescriptorLimit lowers a process's soft limit on descriptors to exhaustedLimit. restore sets it back.
+// lowerDescriptorLimit lowers a process's soft limit on descriptors to exhaustedLimit. restore sets the
+// earlier limit again. lowered is false if the limit cannot be read.
 func lowerDescriptorLimit(pid int) (restore func(), lowered bool) {
 	var limit unix.Rlimit
 	if unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit) != nil {
--- a/internal/rehearsal/capacity/fit_test.go
+++ b/internal/rehearsal/capacity/fit_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Spread is the range of the values divided by their median. Median and Spread of no values are 0.
+// Spread is the difference between the largest and the smallest value, divided by the median. Without values, Median and
+// Spread return 0.
 func TestMedianAndSpread(t *testing.T) {
 	for _, test := range []struct {
 		values []float64
@@ -26,8 +27,7 @@
 	}
 }
 
-// seriesOf returns the points of a series whose medians are the given function of the size. Each point has three values with
-// a spread of 3%.
+// seriesOf returns one point for each size, with three values whose median is median(size) and whose spread is 3%.
 func seriesOf(median func(size float64) float64, sizes ...int) (points []Point) {
 	for _, size := range sizes {
 		value := median(float64(size))
@@ -36,7 +36,7 @@
 	return points
 }
 
-// fitOf fits a line to a series whose medians are the given function of the size, at three sizes.
+// fitOf fits a line to a series of three sizes in which the median of the values at a size is median(size).
 func fitOf(t *testing.T, median func(size float64) float64) Fit {
 	t.Helper()
 	fit, err := FitSeries(seriesOf(median, 200, 2100, 21000))
@@ -46,7 +46,8 @@
 	return fit
 }
 
-// The fit of a linear series is that line, with the range of its sizes and the spread of its repetitions.
+// The fit of a linear series has the line's intercept and slope and no residual. It states the range of the sizes and the
+// largest spread of the repeated values at a size.
 func TestFitOfALine(t *testing.T) {
 	fit := fitOf(t, func(size float64) float64 { return 7 + 0.5*size })
 	if math.Abs(fit.Fixed-7) > 1e-6 || math.Abs(fit.Slope-0.5) > 1e-9 {
@@ -67,15 +68,15 @@
 	}
 }
 
-// The fit of a series of zeros is zero everywhere.
+// The fit of a series of zeros has an intercept, a slope and a residual of 0, not NaN.
 func TestFitOfZeros(t *testing.T) {
 	fit := fitOf(t, func(float64) float64 { return 0 })
 	if fit.Fixed != 0 || fit.Slope != 0 || fit.Residual != 0 {
-		t.Errorf("%+v, want 0 everywhere", fit)
+		t.Errorf("%+v, want an intercept, a slope and a residual of 0", fit)
 	}
 }
 
-// No line is fitted to two sizes, since its residual would always be 0.
+// FitSeries rejects a series of two sizes: the residual of a line through two points is always 0.
 func TestFitOfTwoSizes(t *testing.T) {
 	if fit, err := FitSeries(seriesOf(math.Sqrt, 200, 2100)); err == nil {
 		t.Errorf("a line was fitted to two sizes: %+v", fit)
--- a/internal/rehearsal/capacity/page.go
+++ b/internal/rehearsal/capacity/page.go
@@ -42,7 +42,7 @@
 // ComparedRow is a need computed from the latest slope runs, together with the headroom computed from the earlier ones.
 type ComparedRow struct {
 	Row
-	Before string // headroom by the earlier runs
+	Before string // headroom computed from the earlier slope runs
 }
 
 // SlopeLine is the fit of one series in the earlier and in the latest slope runs.
@@ -190,7 +190,7 @@
 	return rows, nil
 }
 
-// computeFigures sets the target, the assumptions and all figures that follow from the latest basis.
+// computeFigures sets the target, the assumptions and all figures that are computed from the latest basis.
 func (p *Page) computeFigures(basis *Basis) (err error) {
 	measured, err := basis.figuresAtTarget()
 	if err != nil {
@@ -251,8 +251,8 @@
 	return ComparedRow{}, fmt.Errorf("no need of the %s begins with %q", role, what)
 }
 
-// ScaleNeed returns, as text, the needs of a role by the scale runs whose description after the mechanism begins with what:
-// one for each mechanism.
+// ScaleNeed returns, as text, those needs of a role that were measured by the scale runs and whose description, after the
+// name of the mechanism, begins with what. There is one for each mechanism.
 func (p Page) ScaleNeed(role Role, what string) string {
 	var found []string
 	for _, row := range p.Rows {
--- a/internal/rehearsal/hostileload/behavior.go
+++ b/internal/rehearsal/hostileload/behavior.go
@@ -20,22 +20,22 @@
 	readBuffer       = 512 // bytes
 	slowReadBuffer   = 256 // bytes that a slow reader takes at a time
 	slowReadInterval = 5 * time.Millisecond
-	fullSpeed        = time.Duration(0) // a read interval without a pause
+	fullSpeed        = time.Duration(0) // the interval of a receiver that does not pause
 )
 
-// The requests that are sent.
+// The requests that are sent, and their parts. A head is the request line and the headers.
 const (
-	pathVariants      = 1000
+	pathVariants      = 1000 // number of different paths for each class
 	headFormat        = "POST /%s/m%d HTTP/1.1\r\nHost: kiosk\r\nX-Correlation-Id: %016x\r\nX-Time-Left-Ms: 5000\r\n"
 	slowBodyEndOfHead = "Content-Length: 5000\r\n\r\n" // announces slowBodyLength
 	batchedFormat     = "POST /nothing/m%d HTTP/1.1\r\nHost: kiosk\r\nX-Correlation-Id: %016x\r\nContent-Length: 0\r\n\r\n"
 )
 
-// misbehave uses a connection as the client's kind does until either side ends
-// it, and returns the number of bytes received.
+// misbehave uses a connection in the way of the client's kind until either side
+// ends it, and returns the number of bytes received.
 func (c *client) misbehave(ctx context.Context, conn net.Conn) int64 {
-	// Every kind draws the head, so that the random numbers of a client do not
-	// depend on its kind here.
+	// The head is generated for every kind, also for those that do not send it, so
+	// that all kinds draw the same random numbers up to this point.
 	head := fmt.Sprintf(headFormat, c.class, c.random.IntN(pathVariants), c.random.Uint64())
 	switch c.kind {
 	case Silent:
@@ -65,18 +65,18 @@
 	return responses.received.Load()
 }
 
-// trickle sends immediate at once and then slow one byte at a time, and waits for the
+// trickle sends start in one write and then rest one byte at a time, and waits for the
 // end of the connection. It returns the number of bytes received.
-func trickle(ctx context.Context, conn net.Conn, immediate, slow string) int64 {
+func trickle(ctx context.Context, conn net.Conn, start, rest string) int64 {
 	responses := startReceiver(ctx, conn, readBuffer, fullSpeed)
-	if immediate != "" {
-		_, err := io.WriteString(conn, immediate)
+	if start != "" {
+		_, err := io.WriteString(conn, start)
 		if err != nil {
 			return responses.received.Load()
 		}
 	}
-	for i := range len(slow) {
-		_, err := conn.Write([]byte{slow[i]})
+	for i := range len(rest) {
+		_, err := conn.Write([]byte{rest[i]})
 		if err != nil {
 			break
 		}
@@ -90,8 +90,8 @@
 	return responses.received.Load()
 }
 
-// flood sends the same batch of requests until a write fails or ctx ends, and then
-// closes the connection.
+// flood sends one batch of requests repeatedly until a write fails or ctx ends, and
+// then closes the connection. It does not read the responses.
 func (c *client) flood(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	var batch []byte
--- a/internal/rehearsal/recording/clock_test.go
+++ b/internal/rehearsal/recording/clock_test.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// overlappingLogs holds the logs of two sources. The clock of the second source is behind.
+// overlappingLogs holds the logs of two sources that both logged some of the requests. The clock of the
+// second source is behind.
 type overlappingLogs struct {
 	first  string
 	second string
-	shared int       // number of requests that both logged
-	end    time.Time // completion of the last request
+	shared int       // number of requests that both sources logged
+	end    time.Time // completion of the last request, by the clock of the first source
 }
 
-// logsWithOffset returns the logs of two sources, which both logged a third of the requests. The clock
-// of the second source is behind by offset.
+// logsWithOffset returns the logs of two sources. Each logged a third of the requests alone, and both
+// logged the remaining third. The clock of the second source is behind by offset.
 func logsWithOffset(offset time.Duration) overlappingLogs {
-	const requests = 600 // which give 800 lines
+	const requests = 600 // 800 log lines, since 200 of the requests have two
 	random := rand.New(rand.NewPCG(1, 2))
 	var first, second strings.Builder
 	shared := 0
@@ -43,8 +44,8 @@
 	return overlappingLogs{first: first.String(), second: second.String(), shared: shared, end: completed}
 }
 
-// If two sources whose clocks are 7 s apart logged some of the same requests, the offset is estimated
-// and the entries of these requests are merged, but no others.
+// If two sources whose clocks are 7 s apart both logged some requests, the offset is estimated from these,
+// and the second entry of each of them is dropped as a duplicate. Entries of other requests are kept.
 func TestClockOffsetIsEstimatedFromSharedRequests(t *testing.T) {
 	logs := logsWithOffset(7 * time.Second)
 	imported := importTexts(t, Options{Seed: 1}, logs.first, logs.second)
@@ -53,11 +54,11 @@
 		t.Errorf("estimated %v, offset %d µs, want an estimate of 7 s ± 1 s", source.Estimated, source.OffsetUs)
 	}
 	if source.Pairs < 20 || source.SpreadUs <= 0 {
-		t.Errorf("%d pairs with spread %d µs, want at least 20 with a spread", source.Pairs, source.SpreadUs)
+		t.Errorf("%d pairs with spread %d µs, want at least 20 pairs and a spread above 0", source.Pairs, source.SpreadUs)
 	}
 	duplicates := int(source.Duplicates + imported.source().Duplicates)
 	if duplicates < logs.shared*97/100 || duplicates > logs.shared*105/100 {
-		t.Errorf("found %d of %d duplicates", duplicates, logs.shared)
+		t.Errorf("%d duplicates, want %d, -3%% to +5%%", duplicates, logs.shared)
 	}
 	if got, want := len(imported.entries), 800-duplicates; got != want {
 		t.Errorf("%d entries are left, want %d", got, want)
@@ -67,7 +68,7 @@
 	}
 }
 
-// A given offset replaces the estimate, and with KeepDuplicates duplicates are kept.
+// An offset that the caller gives replaces the estimate. With KeepDuplicates, duplicates are not dropped.
 func TestGivenClockOffset(t *testing.T) {
 	logs := logsWithOffset(7 * time.Second)
 	options := Options{Seed: 1, Offsets: map[string]time.Duration{"s1": 7 * time.Second}, KeepDuplicates: true}
@@ -78,7 +79,7 @@
 	}
 }
 
-// No offset is estimated for sources without common requests.
+// No offset is estimated if no request was logged by both sources.
 func TestNoClockOffsetWithoutSharedRequests(t *testing.T) {
 	logs := logsWithOffset(7 * time.Second)
 	others := strings.ReplaceAll(logs.second, "/members/", "/members/x")
@@ -92,16 +93,17 @@
 // clockStepLines is the number of lines of the logs in clockStepCases.
 const clockStepLines = 200
 
-// nthSecond returns the time of a line of a log with one line per second.
+// nthSecond returns the time of the given line in a log with one line per second.
 func nthSecond(line int) time.Time { return logStart.Add(time.Duration(line) * time.Second) }
 
-// clockStepCases contains logs of clocks that step or that seem to step.
+// clockStepCases contains logs of a clock that steps, of one with single wrong timestamps and of one with a
+// long gap, which is not a step.
 var clockStepCases = map[string]struct {
 	completed func(line int) time.Time
-	steps     int
-	outliers  int
+	steps     int           // number of steps of the clock
+	outliers  int           // number of timestamps that are far from those of the lines around them
 	repaired  uint64        // number of entries with the repair ClockStepped
-	span      time.Duration // of the recording
+	span      time.Duration // time between the first and the last arrival in the recording
 }{
 	"an hour back": {
 		completed: func(line int) time.Time {
@@ -176,7 +178,7 @@
 	options := Options{Format: "nginx:$time_iso8601 $request_method $request_uri", Zone: zone}
 	imported := importTexts(t, options, text.String())
 	if got := imported.report.Repairs["hour that came twice"]; got != 60 || imported.source().ClockSteps != 0 {
-		t.Errorf("%d entries in the second occurrence of the hour, want 60; source %+v, want no step", got, imported.source())
+		t.Errorf("%d entries in the second occurrence of the hour, want 60; source %+v, want no clock step", got, imported.source())
 	}
 	if count := len(imported.entries); count != 240 || imported.entries[count-1].Arrival > 4*time.Hour {
 		t.Errorf("%d entries, want 240, the last at %v, want at most 4 h", count, imported.entries[count-1].Arrival)
@@ -202,12 +204,12 @@
 		t.Errorf("the order of files is %v, reordered %v", source.Files, source.Reordered)
 	}
 	if source.ClockSteps != 0 || len(imported.entries) != 150 {
-		t.Errorf("%d entries, want 150; source %+v, want no step", len(imported.entries), source)
+		t.Errorf("%d entries, want 150; source %+v, want no clock step", len(imported.entries), source)
 	}
 }
 
-// Entries with timestamps of whole seconds are spread evenly over their second. The same seed gives the
-// same recording.
+// If timestamps have a resolution of one second, the entries are spread evenly over their second. The same
+// seed gives the same recording, and another seed another one.
 func TestSpreadWithinSecond(t *testing.T) {
 	var text strings.Builder
 	for i := range 2000 {
@@ -225,7 +227,7 @@
 	}
 	for tenth, count := range entriesByTenth {
 		if count < 130 || count > 270 {
-			t.Errorf("%d of 2000 in tenth %d", count, tenth)
+			t.Errorf("%d of 2000 entries in tenth %d of the second, want 130 to 270", count, tenth)
 		}
 	}
 	start := imported.report.Start.Sub(logStart)
@@ -234,7 +236,8 @@
 	}
 }
 
-// The entries of a second with more entries than a group keep their order and stay within the second.
+// The entries of a second are spread in groups of at most maxSpreadGroup. If a second needs several groups,
+// its entries keep their order and stay within the second.
 func TestCrowdedSecond(t *testing.T) {
 	const entries = 3*maxSpreadGroup + 5
 	var spread []pendingEntry
@@ -256,7 +259,7 @@
 		return -1
 	})
 	if !inOrder {
-		t.Error("the entries are not in their order")
+		t.Error("the entries are not in the order in which they were added")
 	}
 	if last := spread[len(spread)-1].timestamp; last > 5_999_999 {
 		t.Errorf("the last entry is at %d µs, beyond its second", last)
--- a/internal/rehearsal/recording/har.go
+++ b/internal/rehearsal/recording/har.go
@@ -166,8 +166,8 @@
 	}
 )
 
-// copyMember copies a member of an entry to r.text, or skips it if it is not kept. _webSocketMessages is
-// replaced by a _resourceType that marks the entry as one of a websocket.
+// copyMember appends a member of an entry to r.entryJSON, or skips it if it is not kept. It replaces
+// _webSocketMessages by a _resourceType that marks the entry as one of a websocket.
 func (r *harReader) copyMember(name string) error {
 	if inner := harInnerMembers[name]; inner != nil && r.decoder.PeekKind() == '{' {
 		return r.copyInnerObject(name, inner)
@@ -198,8 +198,8 @@
 	return err
 }
 
-// copyValue copies a member to r.text. If r.text would exceed maxHAREntryBytes, it is padded beyond that
-// size instead, by which readEntry recognises that the entry is too long.
+// copyValue appends a member to r.entryJSON. If r.entryJSON would exceed maxHAREntryBytes, copyValue pads
+// it beyond that size instead, by which readEntry recognises that the entry is too long.
 func (r *harReader) copyValue(name string) error {
 	value, err := r.decoder.ReadValue()
 	if err != nil {
--- a/internal/rehearsal/recording/har_test.go
+++ b/internal/rehearsal/recording/har_test.go
@@ -11,6 +11,9 @@
 	"time"
 )
 
+// harText is a HAR file with a byte order mark and ten entries: three valid ones, of which the third got no
+// response, three that did not reach a server as HTTP requests, three malformed ones and one that no rule
+// matches.
 const harText = "\xef\xbb\xbf" + `{"log":{"version":"1.2","creator":{"name":"x"},"pages":[{"id":"p"}],"entries":[
 {"startedDateTime":"2026-12-01T08:00:00.250+02:00","time":40,"timings":{"blocked":-1,"dns":-1,"connect":-1,"send":1,"wait":30,"receive":2,"ssl":-1},"_initiator":{"a":[1]},
  "request":{"method":"POST","url":"http://portal.example/members/18/renew?card=4711","bodySize":9,"headers":[{"name":"Cookie","value":"secret"}],"postData":{"mimeType":"text/plain","text":"pay 4711"}},
@@ -47,8 +50,8 @@
 	}
 }
 
-// The duration of an entry is the time that server and network took, otherwise the entry's time.
-// Entries are sorted by their times.
+// The duration of an entry is the sum of its send, wait and receive timings or, if the wait is not known,
+// the entry's time. It is drawn if there was no response. Entries are sorted by their start times.
 func TestEntriesOfHAR(t *testing.T) {
 	entries := importHAR(t).entries
 	if len(entries) != 3 {
@@ -61,18 +64,18 @@
 		t.Errorf("%+v, want 12.5 ms from the entry's time", first)
 	}
 	if second.Arrival != 100*time.Millisecond || second.Repairs != DrawnDuration {
-		t.Errorf("%+v, want an arrival 100 ms after the first and a duration that was drawn", second)
+		t.Errorf("%+v, want an arrival 100 ms after the first and a drawn duration", second)
 	}
 	if third.Duration != 33*time.Millisecond || third.BodyBytes != 9 || third.Status != 302 {
 		t.Errorf("%+v, want 33 ms from the timings, a body of 9 bytes and status 302", third)
 	}
 	if first.Key != third.Key || first.Key == second.Key {
-		t.Error("the keys of members 18, 19 and 18 are wrong")
+		t.Error("the keys of entries 1 and 3, both of member 18, differ, or entry 2, of member 19, has the same key")
 	}
 }
 
-// If a HAR file is truncated at any position, the entries before it are imported and the truncation is
-// reported.
+// If a HAR file is truncated at any position, the complete entries before that position are imported and
+// the truncation is reported.
 func TestTruncatedHAR(t *testing.T) {
 	endOfAccepted := strings.Index(harText, `{"startedDateTime":"soon"`)
 	for length := strings.Index(harText, "[\n{") + 2; length < len(harText)-10; length += 7 {
@@ -87,7 +90,8 @@
 	}
 }
 
-// A HAR file without entries, of an unknown version or without a log object is reported as faulty.
+// A HAR file without entries, of an unknown version or without a log object is reported as
+// truncated.
 func TestFaultyHAR(t *testing.T) {
 	for _, text := range []string{`{"log":{"version":"1.2"}}`, `{"log":{"version":"9","entries":[]}}`, `{"log":[]}`} {
 		imported := importTexts(t, Options{Format: "har"}, text)
@@ -97,7 +101,7 @@
 	}
 }
 
-// largeHAR returns a HAR file whose entries have bodies.
+// largeHAR returns a HAR file with the given number of entries, each with a response body.
 func largeHAR(entries int) string {
 	const bodyBytes = 3000
 	random := rand.New(rand.NewPCG(1, 1))
@@ -127,7 +131,7 @@
 	return text.String()
 }
 
-// BenchmarkHAR imports a HAR file whose entries have bodies, which are skipped.
+// BenchmarkHAR imports a HAR file whose entries have response bodies, which the importer skips.
 func BenchmarkHAR(b *testing.B) {
 	const entries = 3000
 	text := largeHAR(entries)
--- a/internal/rehearsal/recording/jsonlog.go
+++ b/internal/rehearsal/recording/jsonlog.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// jsonFields holds the names of the fields of a JSON log. Of several names, the first one that a line
-// has is used. A name with dots is a path into nested objects.
+// jsonFields holds, for each value of an entry, the names of the JSON log's fields that may contain it.
+// The first field that a line has is used. A name with dots is a path into nested objects.
 type jsonFields struct {
 	timestampsMarkArrival bool
 	time                  []string
@@ -32,10 +32,11 @@
 	scale float64 // microseconds in the unit of the field's value
 }
 
-// microsecondsPerUnit maps the units that json:MAP allows to their microseconds.
+// microsecondsPerUnit holds the number of microseconds in each unit that json:MAP allows.
 var microsecondsPerUnit = map[string]float64{"s": 1e6, "ms": 1e3, "us": 1, "ns": 1e-3}
 
-// commonJSONFields returns the names that JSON logs of NGINX (escape=json) and similar ones mostly use.
+// commonJSONFields returns the names that are common in JSON logs of NGINX (escape=json) and similar
+// servers.
 func commonJSONFields() *jsonFields {
 	return &jsonFields{
 		time:      []string{"msec", "time_iso8601", "@timestamp", "timestamp", "time", "ts", "time_local", "date"},
@@ -87,7 +88,7 @@
 	if text == "" {
 		return fields, nil
 	}
-	named := map[string]*[]string{
+	namesByKey := map[string]*[]string{
 		"time": &fields.time, "request": &fields.request, "method": &fields.method, "target": &fields.target,
 		"query": &fields.query, "status": &fields.status, "client": &fields.client, "id": &fields.requestID,
 		"body": &fields.bodyBytes,
@@ -97,8 +98,8 @@
 		if !ok || value == "" {
 			return nil, fmt.Errorf("%q is not NAME=FIELD", pair)
 		}
-		if list := named[name]; list != nil {
-			*list = []string{value}
+		if names := namesByKey[name]; names != nil {
+			*names = []string{value}
 			continue
 		}
 		kind, unit, _ := strings.Cut(name, "_")
@@ -148,7 +149,8 @@
 	return err
 }
 
-// parseJSONTime parses the entry's time, which is a number since 1970 or a timestamp in a string.
+// parseJSONTime parses the entry's time, which is the time since 1970 as a number or a timestamp in a
+// string.
 func (f *Format) parseJSONTime(object *fastjson.Value, raw *RawEntry) error {
 	value := findJSON(object, f.jsonFields.time)
 	if value == nil {
@@ -161,7 +163,7 @@
 	return err
 }
 
-// parseJSONTimeText parses the text of a time. A string may contain a number, too.
+// parseJSONTimeText parses the text of a number or of a string, which may also contain a number.
 func (f *Format) parseJSONTimeText(text string, isNumber bool) (parsedTime, error) {
 	if isNumber || strings.Trim(text, "0123456789.") == "" {
 		number, scale := guessEpochUnit(text)
--- a/internal/rehearsal/recording/pseudonym_test.go
+++ b/internal/rehearsal/recording/pseudonym_test.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	tokenEntries    = 8   // number of entries with a token, at the start of memberLog
-	redactedEntries = 500 // number of entries with a redacted member, after them
+	tokenEntries    = 8   // number of entries with a member's token; they come first in memberLog
+	redactedEntries = 500 // number of entries with a redacted member, which follow
 )
 
-// memberLog returns a log that contains the tokens of three members and a partly masked token, then
-// entries whose member is redacted, and then a malformed line.
+// memberLog returns a log in which the path contains the member's token. The first entries have the tokens
+// of three members and a partly masked token, which counts as a token too. They are followed by entries
+// whose token is redacted completely, and by a malformed line.
 func memberLog() string {
 	var text strings.Builder
 	tokens := [tokenEntries]string{"880017", "880018", "880017", "a9f5e1c0d2", "a9f5e1c0d2", "88***", "88***", "880018"}
@@ -44,7 +45,7 @@
 	}
 	for _, pair := range [][2]int{{0, 1}, {5, 0}} {
 		if keys[pair[0]] == keys[pair[1]] {
-			t.Errorf("entries %d and %d have different tokens, but the same key: %x", pair[0], pair[1], keys)
+			t.Errorf("entries %d and %d have different tokens, but equal keys: %x", pair[0], pair[1], keys)
 		}
 	}
 }
@@ -62,8 +63,8 @@
 	return entriesByKey
 }
 
-// Entries with a redacted member get the keys of synthetic members, which are uniformly distributed by
-// default.
+// An entry whose member is redacted gets the key of a synthetic member. Synthetic members are uniformly
+// distributed by default.
 func TestRedactedMembersGetSyntheticKeys(t *testing.T) {
 	imported := importTexts(t, Options{Seed: 1}, memberLog())
 	keys := countKeys(t, imported.entries[tokenEntries:])
@@ -85,11 +86,11 @@
 		maxEntries = max(maxEntries, entries)
 	}
 	if maxEntries < 100 || imported.report.SyntheticKeys != "Zipf with exponent 1.5 over 50 members" {
-		t.Errorf("the most frequent of the skewed keys occurs %d times of %d; %s", maxEntries, redactedEntries, imported.report.SyntheticKeys)
+		t.Errorf("the most frequent of the skewed keys has %d of %d entries, want 100 or more; distribution %s", maxEntries, redactedEntries, imported.report.SyntheticKeys)
 	}
 }
 
-// Neither the recording nor the report contains a member's token, a query, a path or an address.
+// Neither the recording nor the report contains a member's token, a query, a path or a client's address.
 func TestNoMemberDataIsKept(t *testing.T) {
 	imported := importTexts(t, Options{Seed: 1}, memberLog())
 	content := zstdDecompressed(t, imported.file)
@@ -99,12 +100,13 @@
 	}
 	for _, secret := range []string{"88001", "a9f5e1c0d2", "88***", "hunter2", "10.1.2.3", "/members/"} {
 		if bytes.Contains(content, []byte(secret)) || bytes.Contains(reportText, []byte(secret)) {
-			t.Errorf("%q is in the file or the report", secret)
+			t.Errorf("%q is in the recording or the report", secret)
 		}
 	}
 }
 
-// Pseudonyms depend on the input or, if a secret is given, only on the secret.
+// Pseudonyms are derived with a key: a hash of parts of the input
+// by default or, if one is given, the secret.
 func TestPseudonymsAreKeyedByInputOrSecret(t *testing.T) {
 	text := memberLog()
 	otherText := text + "\n# more\n"
@@ -116,6 +118,6 @@
 	withSecret := Options{Seed: 1, Secret: []byte("0123456789abcdef")}
 	bySecret := firstKey(withSecret, text)
 	if firstKey(withSecret, otherText) != bySecret || bySecret == byInput {
-		t.Error("the pseudonyms depend on something else than the given secret")
+		t.Error("the pseudonyms depend on the input, although a secret is given, or do not depend on the secret")
 	}
 }
--- a/internal/rehearsal/recording/rules_test.go
+++ b/internal/rehearsal/recording/rules_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The error for invalid rules names the invalid key.
+// ReadRules rejects a missing, unknown or invalid key with an error that names the key.
 func TestInvalidRules(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                   "class: missing",
@@ -26,7 +26,8 @@
 	}
 }
 
-// A segment pattern gives the same result as the regexp package.
+// A segmentPattern, the fast matcher for common path expressions, finds the same match and the same
+// group as the regexp package.
 func FuzzSegmentPatterns(f *testing.F) {
 	expressions := []string{
 		"^/members/[^/]+/renew$",
@@ -56,8 +57,8 @@
 	})
 }
 
-// ruleWithSegmentPattern returns a rule with the given path. The test fails if that is not a segment
-// pattern.
+// ruleWithSegmentPattern returns a rule whose path is the given expression, and also its key if the
+// expression has a group. The test fails unless the expression compiles to a segmentPattern.
 func ruleWithSegmentPattern(t testing.TB, expression string) Rule {
 	t.Helper()
 	rule := Rule{Name: "a", TimeoutMs: 1, Path: expression}
@@ -73,8 +74,8 @@
 	return rule
 }
 
-// An expression that does not consist alternately of literals and whole segments is not compiled to a
-// segment pattern, so that the regexp package matches it.
+// Only an expression in which literal text alternates with whole path segments compiles to a
+// segmentPattern. All others are left to the regexp package.
 func TestOtherExpressionsAreNoSegmentPatterns(t *testing.T) {
 	for _, expression := range []string{"a", "^/a.b", "^/[^/]+x", "^/([^/]+", "^/a|b", "^/([^/]+)/([^/]+)/", "^/[^/]+"} {
 		if compileSegmentPattern(expression) != nil {
--- a/internal/rehearsal/recording/secondpass.go
+++ b/internal/rehearsal/recording/secondpass.go
@@ -56,7 +56,7 @@
 }
 
 // mergeSources calls handle for the entries of all sources, in the order of their corrected arrivals.
-// duplicate is set if an earlier entry of another source is of the same request.
+// duplicate is set if another source has an earlier entry for the same request.
 func (imp *importer) mergeSources(handle func(source int, entry *pendingEntry, duplicate bool) error) error {
 	var runs []*runReader
 	for i, source := range imp.sources {
@@ -74,9 +74,10 @@
 	})
 }
 
-// duplicateWindows returns for each source how far apart in time its entry of a request and that of
-// another source may be, in microseconds. It is 0 for a source that is not compared with the others,
-// because its clock offset is not known, because it is the only source or because duplicates are kept.
+// duplicateWindows returns for each source, in microseconds, by how much the corrected arrivals of its
+// entry and of another source's entry for the same request may differ. The window is 0 for a source that
+// is not compared with the others, because its clock offset is not known, because it is the only source
+// or because duplicates are kept.
 func (imp *importer) duplicateWindows() []int64 {
 	const minWindow = 250 * millisecond
 	windows := make([]int64, len(imp.sources))
@@ -142,7 +143,7 @@
 	}
 }
 
-// reportClasses adds the counts of each rule to the report of its class and returns the number of all
+// reportClasses adds the counts of each rule to the report of its class and returns the total number of
 // entries.
 func (imp *importer) reportClasses() (entries uint64) {
 	for rule := range imp.statistics {
--- a/internal/rehearsal/recording/segmentpattern.go
+++ b/internal/rehearsal/recording/segmentpattern.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// segmentPattern matches paths like a regular expression that consists alternately of literal text and
-// of whole path segments, [^/]+ or [^/]*, as those of most rules do. Matching all paths with the regexp
-// package took two thirds of the time of an import; it now matches only the other expressions.
+// segmentPattern is a fast matcher for regular expressions in which literal text alternates with whole
+// path segments, [^/]+ or [^/]*. Most rules use only such expressions. When the regexp package matched
+// all paths, it took two thirds of the time of an import; it now matches only the other expressions.
 type segmentPattern struct {
 	literals     []string // text before each segment, and after the last one
 	mayBeEmpty   []bool   // by segment: it is [^/]*
@@ -72,7 +72,8 @@
 	return after, true
 }
 
-// match reports whether the path matches. group is the text of the segment in parentheses.
+// match reports whether the path matches. group is the text of the segment in parentheses,
+// or empty if there is none.
 func (p *segmentPattern) match(path string) (group string, ok bool) {
 	for i, literal := range p.literals {
 		if !strings.HasPrefix(path, literal) {
--- a/internal/rehearsal/recording/template.go
+++ b/internal/rehearsal/recording/template.go
@@ -18,7 +18,7 @@
 	fieldTimeSeconds // seconds since 1970, with or without a fraction
 	fieldTimeMilliseconds
 	fieldTimeMicroseconds
-	fieldTimePiece // a part of the time, in the field's layout; joinTime joins the parts
+	fieldTimePiece // a part of the time, such as the day, in the field's layout; joinTime joins the parts
 	fieldFractionMilliseconds
 	fieldFractionMicroseconds
 	fieldRequestLine
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// cutField splits text into the value of the field with the given index and the text after the
-// field's literal end.
+// cutField splits text into the value of the field with the given index and the text after the literal
+// text that ends the field.
 func (f *Format) cutField(index int, text string) (value, rest string, err error) {
 	field := &f.template[index]
 	switch {
@@ -330,13 +330,13 @@
 func closingQuote(text string) int {
 	searchFrom := 0
 	for {
-		length := strings.IndexByte(text[searchFrom:], '"')
-		if length < 0 {
+		distance := strings.IndexByte(text[searchFrom:], '"')
+		if distance < 0 {
 			return -1
 		}
-		quote := searchFrom + length
-		unescaped := strings.TrimRight(text[:quote], `\`)
-		backslashes := quote - len(unescaped)
+		quote := searchFrom + distance
+		beforeBackslashes := strings.TrimRight(text[:quote], `\`)
+		backslashes := quote - len(beforeBackslashes)
 		if backslashes%2 == 0 {
 			return quote
 		}
@@ -378,8 +378,8 @@
 	return byte(number), err == nil
 }
 
-// unescapedByte returns the byte that a backslash followed by the given byte stands for. A byte other
-// than n, t and r stands for itself.
+// unescapedByte returns the byte that the escape sequence of a backslash and the given byte stands for.
+// A byte other than n, t and r stands for itself.
 func unescapedByte(letter byte) byte {
 	switch letter {
 	case 'n':
--- a/internal/rehearsal/scale/cluster.go
+++ b/internal/rehearsal/scale/cluster.go
@@ -35,8 +35,9 @@
 func hollowZone(i, zones int) int       { return i % zones }
 func daemonZone(i, zones int) int       { return (i + 1) % zones } // the first daemon is not in the origin's zone
 
-// cluster holds all processes of one run: the origin, the relays, the hollow dispatchers and the daemons. close stops
-// all of them.
+// cluster holds all processes of one run: the origin, which publishes the endpoint list, the relays, the hollow
+// dispatchers, which have neither clients nor workers of their own, and the daemons, which are real dispatcher-serve
+// processes. close stops all of them.
 type cluster struct {
 	scenario        *Scenario
 	plan            *Plan
@@ -81,7 +82,7 @@
 	return cmd
 }
 
-// start starts all processes. After an error the processes started so far run until close.
+// start starts all processes. If it fails, the processes that it has started run until close is called.
 func (c *cluster) start() (err error) {
 	c.origin, err = startOriginProcess(c.command(c.programs.Origin), c.scenario.LogChanges)
 	if err != nil {
@@ -210,8 +211,8 @@
 	}
 }
 
-// upstreamOf returns where a dispatcher of a zone gets changes of the endpoint list from: a link to the origin of its
-// own, or the zone's links to all relays.
+// upstreamOf returns the addresses from which a dispatcher gets changes of the endpoint list: that of the dispatcher's
+// own link to the origin, or those of its zone's links to all relays.
 func (c *cluster) upstreamOf(name string, zone int) (found upstream, err error) {
 	if c.mechanism == MechanismDiscovery {
 		link, err := c.discoveryLink(name, zone)
@@ -221,16 +222,16 @@
 		found.discovery = link.addr
 		return found, nil
 	}
-	for _, p := range c.network.links {
-		if p.fromZone == zone && p.client == "" {
-			found.servers = append(found.servers, membership.Server{Zone: ZoneName(p.toZone), Address: p.addr})
+	for _, link := range c.network.links {
+		if link.fromZone == zone && link.client == "" {
+			found.servers = append(found.servers, membership.Server{Zone: ZoneName(link.toZone), Address: link.addr})
 		}
 	}
 	return found, nil
 }
 
-// discoveryLink returns a dispatcher's own link to the origin. It opens the link at the first call; a restarted
-// dispatcher uses the same link.
+// discoveryLink returns a dispatcher's own link to the origin. The first call for a dispatcher opens the link; after a
+// restart the dispatcher uses it again.
 func (c *cluster) discoveryLink(name string, zone int) (*zoneLink, error) {
 	for _, link := range c.network.links {
 		if link.client == name {
@@ -393,7 +394,7 @@
 	return taken
 }
 
-// countBehind returns how many reachable hollow dispatchers have not yet applied a version.
+// countBehind returns the number of reachable hollow dispatchers that have not yet applied the given version.
 func (c *cluster) countBehind(version int64) (count int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -405,7 +406,7 @@
 	return count
 }
 
-// countSilentDaemons returns how many daemons have not exchanged a byte with their upstream yet.
+// countSilentDaemons returns the number of daemons that have not yet exchanged a byte with their upstream.
 func (c *cluster) countSilentDaemons() (count int) {
 	totals := c.network.byteCounters.totals()
 	for i := range c.scenario.Daemons {
@@ -456,12 +457,12 @@
 		all = append(all, c.origin.child)
 	}
 	var stopping sync.WaitGroup
-	for _, p := range all {
-		stopping.Go(p.stop)
+	for _, process := range all {
+		stopping.Go(process.stop)
 	}
 	stopping.Wait()
 	c.network.close()
 }
 
-// unixNow returns the present Unix time. All reports use Unix time, so that times of different processes compare.
+// unixNow returns the current Unix time. All reports use Unix time, so that times of different processes can be compared.
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/internal/rehearsal/scale/driver.go
+++ b/internal/rehearsal/scale/driver.go
@@ -10,30 +10,30 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// driver generates an open-loop load of requests for one hollow dispatcher, which it calls directly, without sockets.
-// It must be used only on the goroutine of the dispatcher's event loop.
+// driver generates an open-loop load for one hollow dispatcher: a real dispatcher without clients and workers. It calls
+// the dispatcher directly, without sockets, and must be used only on the goroutine of the dispatcher's event loop.
 type driver struct {
 	core           *dispatch.Dispatcher
 	traffic        Traffic
 	random         *rand.Rand
-	onCounts       func(more requestCounts)
+	onCounts       func(sinceLast requestCounts) // called with the counts since the last call
 	arrivalDue     eventloop.Deadline
-	nextArrival    time.Duration
-	reportedAt     time.Duration
+	nextArrival    time.Duration   // when the next request is due
+	reportedAt     time.Duration   // when onCounts was last called
 	reportedCounts dispatch.Counts // counts at the last report
 	acceptTime     time.Duration   // time spent in accepting requests since the last report
 	lastToken      uint64
 }
 
 func newDriver(core *dispatch.Dispatcher, traffic Traffic, random *rand.Rand, onCounts func(requestCounts)) *driver {
-	started := &driver{core: core, traffic: traffic, random: random, onCounts: onCounts}
-	started.arrivalDue.Fire = started.submitDue
+	created := &driver{core: core, traffic: traffic, random: random, onCounts: onCounts}
+	created.arrivalDue.Fire = created.submitDue
 	core.ClientOverride = &hollowWorkers{
 		core:             core,
 		running:          map[uint64]*hollowAttempt{},
 		attemptsByWorker: map[string]int{},
 	}
-	return started
+	return created
 }
 
 // start begins to send requests once the dispatcher has ready workers: earlier requests would be rejected, which would
@@ -53,8 +53,8 @@
 // submitDue submits the requests that are due and sets the timer for the next one.
 func (d *driver) submitDue() {
 	loop := d.core.Loop
-	arrivedUntil := loop.Now()
-	for d.nextArrival <= arrivedUntil {
+	dueBy := loop.Now()
+	for d.nextArrival <= dueBy {
 		startedAt := time.Now()
 		d.submit()
 		d.acceptTime += time.Since(startedAt)
@@ -103,20 +103,21 @@
 var _ dispatch.WorkerClient = (*hollowWorkers)(nil)
 
 // hollowWorkers is the dispatch.WorkerClient of a hollow dispatcher. It simulates the workers: each attempt starts at
-// once, takes as long as its request's work, and ends with a load report of its worker.
+// once, takes the time in Request.Work, completes, and carries a load report of its worker.
 type hollowWorkers struct {
 	core             *dispatch.Dispatcher
-	running          map[uint64]*hollowAttempt
-	attemptsByWorker map[string]int // number of running attempts of this dispatcher
+	running          map[uint64]*hollowAttempt // by the dispatcher's handle for the attempt
+	attemptsByWorker map[string]int            // number of this dispatcher's running attempts
 }
 
-// hollowAttempt is a running attempt.
+// hollowAttempt is an attempt that a simulated worker is running.
 type hollowAttempt struct {
 	worker string
 	end    eventloop.Deadline
 }
 
-// Start starts a simulated attempt. The dispatcher is told later, by the event loop, that it was sent and has started.
+// Start starts a simulated attempt. A function that it posts to the event loop reports to the dispatcher that the
+// attempt was sent and has started.
 func (h *hollowWorkers) Start(attempt dispatch.Attempt) {
 	running := &hollowAttempt{worker: attempt.Worker}
 	running.end.Fire = func() { h.end(attempt.Handle, running) }
@@ -135,7 +136,7 @@
 	h.core.AttemptEnded(handle, decision.Completed, h.loadReport(ended.worker), nil)
 }
 
-// loadReport returns the load that this dispatcher's attempts alone cause at a worker.
+// loadReport returns a worker's load as if no other dispatcher used the worker.
 func (h *hollowWorkers) loadReport(worker string) decision.LoadReport {
 	free := float64(workerSlots - h.attemptsByWorker[worker])
 	return decision.LoadReport{FreeSlots: max(free, 0), HasFreeSlots: true}
@@ -149,7 +150,7 @@
 	}
 }
 
-// Cancel cancels an attempt. It returns false, since every attempt starts at once and thus may have run.
+// Cancel cancels an attempt. neverRan is always false, because every attempt starts to run at once.
 func (h *hollowWorkers) Cancel(handle uint64) (neverRan bool) {
 	if cancelled := h.running[handle]; cancelled != nil {
 		h.core.Loop.Clear(&cancelled.end)
@@ -161,7 +162,7 @@
 // CloseIdle does nothing: there are no connections.
 func (h *hollowWorkers) CloseIdle(string) {}
 
-// CheckHealth reports the worker as healthy, with the load that this dispatcher's attempts cause.
+// CheckHealth reports the worker as healthy, with the load from loadReport.
 func (h *hollowWorkers) CheckHealth(worker string) {
 	load := h.loadReport(worker)
 	h.core.Loop.Post(func() { h.core.HealthChecked(worker, decision.Completed, load) })
--- a/internal/rehearsal/scale/figures.go
+++ b/internal/rehearsal/scale/figures.go
@@ -36,8 +36,8 @@
 }
 
 const (
-	minuteWindow = time.Minute      // over which bytes per second are averaged
-	coreWindow   = 10 * time.Second // over which processor time is averaged
+	minuteWindow = time.Minute      // window of the highest rate of a dispatcher's bytes
+	coreWindow   = 10 * time.Second // window of the highest core share of a process and of the highest rate of sent bytes
 	megabyte     = 1 << 20
 )
 
@@ -93,7 +93,7 @@
 	figures.add(name+".max", "s", quantile(values, 1))
 }
 
-// group is a set of dispatchers that have common figures.
+// group is a set of dispatchers whose figures are computed together.
 type group struct {
 	name                 string
 	members              []string       // names of the dispatchers, by which links count their bytes
@@ -154,8 +154,8 @@
 	return peak
 }
 
-// addCounters adds means of the counters that the hollow dispatchers keep themselves. If the scenario restarts a zone it
-// adds none, since the counters of the killed processes are lost.
+// addCounters adds the means, over the hollow dispatchers, of the counters that they keep themselves. It adds none if the
+// scenario restarts a zone, since the counters of the killed processes are lost.
 func (r *Run) addCounters(figures *Figures) {
 	if slices.ContainsFunc(r.Scenario.Events, func(event Event) bool { return event.Kind == RestartZone }) {
 		return
@@ -176,8 +176,8 @@
 	return r.worstRate(coreWindow, func(s *sample) float64 { return s.cpu[process].Seconds() })
 }
 
-// worstRate returns the largest increase of a count per second over any window, or over the whole run if it is shorter
-// than the window.
+// worstRate returns the highest rate of a count, per second, over any window of the given length. If the run is shorter
+// than the window, it returns the rate over the whole run.
 func (r *Run) worstRate(window time.Duration, count func(*sample) float64) float64 {
 	worst := 0.0
 	start := 0
@@ -227,7 +227,7 @@
 	return between
 }
 
-// addBusiest adds figures for the period of the samples, each of which is the largest over the given machines.
+// addBusiest adds figures for the period of the samples. Each figure is the largest value of any of the given machines.
 func (r *Run) addBusiest(figures *Figures, prefix string, machines []string, samples []sample) {
 	if len(samples) < 2 {
 		return
@@ -237,17 +237,17 @@
 	span := last.takenAt.Sub(first.takenAt).Seconds()
 	share := 0.0
 	sent := 0.0
-	open := int64(0)
+	maxConnections := int64(0)
 	for _, name := range machines {
 		share = max(share, (last.cpu[name]-first.cpu[name]).Seconds()/span)
 		sent = max(sent, float64(last.sentBytes[name]-first.sentBytes[name])/span)
 		for _, taken := range samples {
-			open = max(open, taken.connections[name])
+			maxConnections = max(maxConnections, taken.connections[name])
 		}
 	}
 	figures.add(prefix+".core_share", "cores", share)
 	figures.add(prefix+".bytes_out", "B/s", sent)
-	figures.add(prefix+".connections", "", float64(open))
+	figures.add(prefix+".connections", "", float64(maxConnections))
 }
 
 // addMachine adds the figures of one control machine over the run.
@@ -255,16 +255,16 @@
 	first := r.samples[0]
 	last := r.samples[len(r.samples)-1]
 	span := last.takenAt.Sub(first.takenAt).Seconds()
-	open := int64(0)
+	maxConnections := int64(0)
 	for i := range r.samples {
-		open = max(open, r.samples[i].connections[name])
+		maxConnections = max(maxConnections, r.samples[i].connections[name])
 	}
 	sent := func(s *sample) float64 { return float64(s.sentBytes[name]) }
 	figures.add(prefix+".core_share", "cores", (last.cpu[name]-first.cpu[name]).Seconds()/span)
 	figures.add(prefix+".core_share_worst_10s", "cores", r.worstCoreShare(name))
 	figures.add(prefix+".bytes_out", "B/s", (sent(&last)-sent(&first))/span)
 	figures.add(prefix+".bytes_out_worst_10s", "B/s", r.worstRate(coreWindow, sent))
-	figures.add(prefix+".connections", "", float64(open))
+	figures.add(prefix+".connections", "", float64(maxConnections))
 	figures.add(prefix+".memory_peak", "MB", r.peakMemory(name)/megabyte)
 }
 
@@ -300,8 +300,8 @@
 	Reason    string  // why they differ; empty if Deviation is within maxDeviation
 }
 
-// Compare compares daemons with the hollow dispatchers of the same zones. If hollow dispatchers serve requests it compares
-// the bytes only, since daemons serve none.
+// Compare compares daemons with the hollow dispatchers of the same zones. If the hollow dispatchers serve requests, it
+// compares only the bytes, since the daemons serve no requests.
 func (r *Run) Compare() (comparisons []Comparison) {
 	hollowGroup := r.hollowInDaemonZones()
 	if r.Scenario.Daemons == 0 || len(hollowGroup.members) == 0 {
--- a/internal/rehearsal/scale/hollowprocess.go
+++ b/internal/rehearsal/scale/hollowprocess.go
@@ -45,7 +45,7 @@
 type hollowReport struct {
 	Applied  []hollowApplied `json:"applied,omitempty"`
 	Requests *requestCounts  `json:"traffic,omitempty"`
-	Counters *hollowCounters `json:"own,omitempty"` // the reply to a line of input
+	Counters *hollowCounters `json:"own,omitempty"` // sent in reply to each line of input after the first
 	Error    string          `json:"error,omitempty"`
 }
 
@@ -56,7 +56,7 @@
 	AppliedAt  time.Duration `json:"t"` // Unix time
 }
 
-// hollowCounters are counters that a process of hollow dispatchers keeps from its start on, summed over its dispatchers.
+// hollowCounters holds totals since the start of a process of hollow dispatchers, summed over its dispatchers.
 type hollowCounters struct {
 	BytesRead    int64  `json:"bytes_read"` // on control connections
 	BytesWritten int64  `json:"bytes_written"`
@@ -83,12 +83,12 @@
 	AcceptTime time.Duration `json:"Busy"` // time spent in accepting requests
 }
 
-// heapShare is the share of a dispatcher's memory limit that the Go memory limit of the process allows for it.
+// heapShare is the fraction of a dispatcher's memory limit that it contributes to the Go memory limit of its process.
 const heapShare = 0.3
 
 const (
-	hollowDescriptors     = 8192                  // limit of a process, in which each dispatcher needs a few
-	reportDelay           = 20 * time.Millisecond // for which events are collected into one report
+	hollowDescriptors     = 8192                  // descriptor limit of a process; each of its dispatchers needs a few
+	reportDelay           = 20 * time.Millisecond // how long events are collected into one report
 	trafficReportInterval = time.Second
 	hollowProcessors      = 2 // GOMAXPROCS: the event loop and the network poller run in parallel
 )
@@ -101,7 +101,7 @@
 	wake        chan struct{} // signals that there is something to report
 	registries  []*discovery.Registry
 	listUpdates int64 // used, like entries, on the event loop's goroutine only
-	entries     int64
+	entries     int64 // in these updates
 	initialList []byte
 
 	outputMutex sync.Mutex // guards out
--- a/internal/rehearsal/scale/run.go
+++ b/internal/rehearsal/scale/run.go
@@ -30,10 +30,10 @@
 }
 
 const (
-	settleDelay    = 2 * time.Second       // from the time at which all dispatchers have the list until the first step
-	sampleInterval = time.Second           // between readings of the meters
-	pollInterval   = 20 * time.Millisecond // between checks of what the processes have reported
-	countTimeout   = 10 * time.Second      // for the hollow dispatchers to report their counters at the end
+	settleDelay    = 2 * time.Second       // pause after all dispatchers have the list, before the first step
+	sampleInterval = time.Second           // time between samples of the usage
+	pollInterval   = 20 * time.Millisecond // time between checks of what the processes have reported
+	countTimeout   = 10 * time.Second      // limit for the hollow dispatchers to report their counters at the end
 	stepTolerance  = 5 * time.Millisecond  // a step that is due within this time is executed at once
 )
 
@@ -48,16 +48,16 @@
 	}
 	defer os.RemoveAll(dir)
 	plan := NewPlan(&scenario)
-	started := &runner{
+	created := &runner{
 		run:     &Run{Scenario: scenario, Mechanism: mechanism, Plan: plan},
 		cluster: newCluster(&scenario, plan, mechanism, programs, dir),
 		log:     log.With("scenario", scenario.Name, "mechanism", mechanism),
 	}
-	defer started.cluster.close()
-	if err := started.execute(ctx); err != nil {
+	defer created.cluster.close()
+	if err := created.execute(ctx); err != nil {
 		return nil, fmt.Errorf("%s by %s: %w", scenario.Name, mechanism, err)
 	}
-	return started.run, nil
+	return created.run, nil
 }
 
 // runner executes one run.
@@ -74,7 +74,8 @@
 	if err := r.cluster.start(); err != nil {
 		return err
 	}
-	// A dispatcher that has applied this change receives changes, and does not only have the list that it started with.
+	// A dispatcher that has applied the version of this change is connected to its upstream. Having the list alone would not
+	// show that, since a dispatcher may have started with it.
 	marker := Change{Host: r.run.Plan.Hosts[0]}
 	versions, err := r.cluster.origin.change([][]Change{{marker}})
 	if err != nil {
@@ -115,7 +116,7 @@
 	return sleep(ctx, settleDelay)
 }
 
-// sleep waits for a time. If the context ends before, it returns the context's error.
+// sleep waits for the given span. If the context ends earlier, it returns the context's error.
 func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -127,7 +128,7 @@
 	}
 }
 
-// waitUntil waits until a time since the start of the run, and takes the samples that are due meanwhile.
+// waitUntil waits until the given offset from the start of the run, and takes the samples that are due in the meantime.
 func (r *runner) waitUntil(ctx context.Context, offset time.Duration) error {
 	for {
 		nextSample := r.run.samples[len(r.run.samples)-1].takenAt.Add(sampleInterval)
@@ -250,8 +251,8 @@
 	}
 }
 
-// restartZone restarts a zone's dispatchers. The hollow ones count as unreachable meanwhile, and as reachable again from
-// the beginning of the restart, so that their catch-up delay includes it.
+// restartZone restarts a zone's dispatchers. It records the hollow ones as unreachable during the restart. Afterwards it
+// records them as reachable since the beginning of the restart, so that their catch-up delay includes the restart.
 func (r *runner) restartZone(action Action) error {
 	cluster := r.cluster
 	now := unixNow()
@@ -274,7 +275,7 @@
 	for r.cluster.countBehind(r.newestVersion) > 0 {
 		err := r.waitUntil(ctx, time.Since(r.startedAt)+sampleInterval)
 		if ctx.Err() != nil {
-			break // at the deadline the run ends all the same, and reports the dispatchers that are behind
+			break // the deadline has passed: the run ends, and reports the dispatchers that are behind
 		}
 		if err != nil {
 			return err
--- a/internal/tools/importrules/main.go
+++ b/internal/tools/importrules/main.go
@@ -1,6 +1,6 @@
-// Command importrules checks the import rules of the project. For each rule it asks `go list` for the imports of the
-// rule's packages, and prints every import that the rule forbids. It fails if there is one. It must run in the
-// repository's root.
+// Command importrules checks that the project's packages import only what its import rules allow. For each rule it asks
+// `go list` for the imports of the rule's packages, and prints every import that the rule forbids. It exits with status 1
+// if there is one. It must run in the repository's root.
 package main
 
 import (
@@ -19,10 +19,11 @@
 	}
 }
 
-// lister returns the import paths that a package imports: only its direct imports, or all packages that it depends on.
+// lister returns the import paths of a package: those of its direct imports if direct is set, otherwise those of all
+// its dependencies.
 type lister func(pkg string, direct bool) ([]string, error)
 
-// check returns all violations of the rules as one error with a line for each, or nil.
+// check returns an error with one line for each violation of the rules, or nil if there is none.
 func check(rules []rule, list lister) error {
 	var violations []error
 	for _, rule := range rules {
@@ -41,7 +42,7 @@
 	return errors.Join(violations...)
 }
 
-// goList asks `go list` for the imports of a package.
+// goList is the lister that asks `go list`.
 func goList(pkg string, direct bool) ([]string, error) {
 	arguments := []string{"list", "-deps", pkg}
 	if direct {
