--- a/cmd/rehearse/connectionadmin_test.go
+++ b/cmd/rehearse/connectionadmin_test.go
@@ -18,7 +18,7 @@
 
 const connectionTimeout = 5 * time.Second
 
-// limitedOperatorFile is an operator file that allows three connections of an address and trusts 127.8.0.1 as a proxy.
+// limitedOperatorFile allows three open connections for each client address and trusts 127.8.0.1 as a proxy.
 const limitedOperatorFile = `[connections]
 on = true
 known = ["127.9.0.0/24"]
@@ -65,7 +65,7 @@
 // isServed reports whether a health check on a connection is answered with 200.
 func isServed(conn net.Conn) bool { return isServedAfter(conn, "") }
 
-// isServedAfter is isServed with a prefix that is sent before the health check.
+// isServedAfter is like isServed, but sends prefix before the health check.
 func isServedAfter(conn net.Conn, prefix string) bool {
 	conn.SetDeadline(time.Now().Add(connectionTimeout))
 	fmt.Fprintf(conn, "%sGET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", prefix)
@@ -126,33 +126,33 @@
 	fleet := startLimitedFleet(t)
 	for i := range 3 {
 		if !fleet.servesFrom("127.0.0.5") {
-			t.Errorf("connection %d of an address is within its limit and not served", i+1)
+			t.Errorf("connection %d from an address is within its limit, but is not served", i+1)
 		}
 	}
 	if fleet.servesFrom("127.0.0.5") {
-		t.Error("a fourth connection of an address is served, beyond its limit")
+		t.Error("a fourth connection from an address, beyond its limit, is served")
 	}
 }
 
-// The header of the PROXY protocol names the client of a proxy's connection, to which the limits then apply.
+// The header of the PROXY protocol names the client of a proxy's connection. The limits apply to that client.
 func TestProxyHeaderNamesClient(t *testing.T) {
 	fleet := startLimitedFleet(t)
 	for i := range 3 {
 		if !fleet.servesProxied("10.0.0.1") {
-			t.Errorf("connection %d of a proxy's client is within its limit and not served", i+1)
+			t.Errorf("connection %d of a proxy's client is within its limit, but is not served", i+1)
 		}
 	}
 	if fleet.servesProxied("10.0.0.1") {
-		t.Error("a fourth connection of a proxy's client is served, beyond its limit")
+		t.Error("a fourth connection of a proxy's client, beyond its limit, is served")
 	}
 	if !fleet.servesProxied("10.0.0.9") {
-		t.Error("another client of the proxy shares the first one's limit")
+		t.Error("a connection of another client of the proxy is not served")
 	}
 	if fleet.servesFrom("127.8.0.1") {
-		t.Error("a proxy without its header is served")
+		t.Error("a connection of the proxy without the header is served")
 	}
 	if isServedAfter(fleet.dial("127.0.0.77"), proxyHeader("10.0.0.1")) {
-		t.Error("the header of a client that is no proxy is accepted")
+		t.Error("a connection with the header from an address that is not a trusted proxy is served")
 	}
 }
 
@@ -204,7 +204,8 @@
 	}
 }
 
-// A limit that is lowered by SIGHUP applies to new connections; open ones stay. An invalid file changes nothing.
+// If the operator file lowers a limit and SIGHUP reloads it, the limit applies to new connections only; open ones stay. An
+// invalid file changes nothing.
 func TestReloadLowersConnectionLimit(t *testing.T) {
 	const address = "127.0.0.40"
 	fleet := startLimitedFleet(t)
--- a/cmd/rehearse/run_test.go
+++ b/cmd/rehearse/run_test.go
@@ -19,8 +19,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// With each front end, every entry is served once, as the ledger confirms, and the report is complete. The same seed
-// gives the same set of requests.
+// With each front end, every entry of the recording is served once, as the stand-ins' ledger confirms, and the report is
+// complete. The same seed gives the same set of requests.
 func TestRunServesEachEntryOnce(t *testing.T) {
 	path := importedRecording(t, 120, 100)
 	idsHashes := map[string]bool{}
@@ -39,7 +39,7 @@
 		})
 	}
 	if len(idsHashes) != 1 {
-		t.Errorf("one seed gave %d sets of requests", len(idsHashes))
+		t.Errorf("the same seed gave %d different sets of requests, want 1", len(idsHashes))
 	}
 }
 
@@ -102,8 +102,8 @@
 	return evaluated
 }
 
-// countingProxy acts as a stand-in: it forwards everything to a real one, including the challenge, and counts the
-// renewals.
+// countingProxy pretends to be a stand-in: it forwards everything, including the challenge that verifies stand-ins, to a
+// real stand-in, and counts the renewals that pass through it.
 type countingProxy struct {
 	listener net.Listener
 	target   string
@@ -159,7 +159,8 @@
 	return standin.Host{Host: worker.Name, Dial: p.listener.Addr().String(), Site: "russeifa", Class: "standard", Health: "ready"}
 }
 
-// checkProxied checks the report of a replay of 50 renewals and 100 status checks during which a proxy was detected.
+// checkProxied checks the report of a replay of 50 renewals and 100 status checks in which a proxy was detected: no renewal
+// may have passed through the proxy, and all status checks must have been sent.
 func checkProxied(t *testing.T, got *report.Report, proxy *countingProxy) {
 	t.Helper()
 	renewals := got.Classes["renewal"]
@@ -218,8 +219,8 @@
 	}
 }
 
-// The daemon is killed during the replay: the requests that it has not answered are lost, the remaining ones are
-// withheld or not sent, and the report gives the reason.
+// If the daemon is killed during the replay, the requests that it has not answered are lost, the remaining ones are
+// withheld or counted as not sent, and the report gives the reason. No job is duplicated.
 func TestDaemonKilled(t *testing.T) {
 	path := importedRecording(t, 150, 100)
 	var killing sync.WaitGroup
--- a/internal/rehearsal/capacity/daemonrun.go
+++ b/internal/rehearsal/capacity/daemonrun.go
@@ -35,7 +35,7 @@
 	bytes int64 // on the connection to discovery, in both directions
 }
 
-// meter calls activity and returns what the daemon used meanwhile.
+// meter calls activity and returns what the daemon used during the call.
 func (r *daemonRun) meter(activity func() error) (daemonUsage, error) {
 	cpuBefore, err := r.daemon.cpu()
 	if err != nil {
@@ -57,7 +57,7 @@
 	}, nil
 }
 
-// cpuBeyondIdle returns the used processor time in seconds, less what the daemon would have used had nothing changed.
+// cpuBeyondIdle returns the used processor time in seconds, minus what an idle daemon uses in the same span.
 func (r *daemonRun) cpuBeyondIdle(used daemonUsage) float64 {
 	return used.cpu.Seconds() - r.idleCores*used.span.Seconds()
 }
@@ -88,7 +88,8 @@
 	return nil
 }
 
-// measureStart waits until the daemon is idle after its start, and records what the start cost.
+// measureStart waits until the daemon is idle after its start, and records the time, processor time, memory and bytes that
+// the start took.
 func (r *daemonRun) measureStart(Config) error {
 	if err := r.waitIdle(); err != nil {
 		return err
@@ -213,7 +214,7 @@
 	return out.Len(), nil
 }
 
-// measureDaemon starts a daemon with a number of listed workers, measures it once and stops it.
+// measureDaemon starts a daemon with the given number of listed workers, measures it once and stops it.
 func measureDaemon(slopes *Slopes, config Config, size int) error {
 	dir, err := os.MkdirTemp("", "hollyyoke-slopes")
 	if err != nil {
--- a/internal/rehearsal/capacity/slopes.go
+++ b/internal/rehearsal/capacity/slopes.go
@@ -49,7 +49,7 @@
 	ModuleDelta                  SeriesName = "module_delta"      // time of a one-worker delta
 	ModuleRequest                SeriesName = "module_arrival"    // mean time of the decision on a request, no worker in slow start
 	ModuleSlowStartRequest       SeriesName = "module_cold"       // mean time of the decision on a request, a tenth of the workers in slow start
-	ModuleSlowStartRequestMedian SeriesName = "module_cold_pick"  // median time of the same decisions as in ModuleCold
+	ModuleSlowStartRequestMedian SeriesName = "module_cold_pick"  // median time of the same decisions as in ModuleSlowStartRequest
 	ModuleRequestByTeams         SeriesName = "module_teams"      // mean time of the decision on a request, by the number of teams with quotas
 	ModuleTaskMemory             SeriesName = "module_held_bytes" // memory of the running tasks, by their number
 	ModuleSweep                  SeriesName = "module_sweep"      // time of one sweep, by the number of running tasks
--- a/internal/rehearsal/recording/file_test.go
+++ b/internal/rehearsal/recording/file_test.go
@@ -39,11 +39,11 @@
 	return reader.ForEach(func(*Entry) error { return nil })
 }
 
-// A file that is truncated or modified anywhere is rejected.
+// A file that is truncated, or in which a byte after the first ones is modified, is rejected.
 func TestDamagedFileIsRejected(t *testing.T) {
 	const (
 		positions  = 200
-		magicBytes = 8 // a file with a modified byte among the first ones may still be read to its end
+		magicBytes = 8 // a file in which one of the first bytes is modified may still be read to its end
 	)
 	file := sampleRecording(t, sampleLength)
 	if err := verify(file); err != nil {
@@ -52,12 +52,12 @@
 	for i := range positions {
 		position := i * len(file) / positions
 		if err := verify(file[:position]); err == nil {
-			t.Fatalf("truncated at %d of %d it is accepted", position, len(file))
+			t.Fatalf("truncated after %d of %d bytes, the file is accepted", position, len(file))
 		}
 		flipped := slices.Clone(file)
 		flipped[position] ^= 0x10
 		if err := verify(flipped); err == nil && position > magicBytes {
-			t.Fatalf("with byte %d of %d modified it is accepted", position, len(file))
+			t.Fatalf("with byte %d of %d modified, the file is accepted", position, len(file))
 		}
 	}
 	if err := verify(append(slices.Clone(file), file...)); err == nil {
@@ -77,11 +77,11 @@
 	}
 }
 
-// If the decompressed content is modified and compressed again, zstd's checksum is right, but that of
-// the recording is not.
+// If the decompressed content is modified and compressed again, the checksum of zstd is correct, so that
+// only the recording's own checksum reveals the modification.
 func TestModifiedContentFailsTheChecksum(t *testing.T) {
 	const (
-		endBytes = 40   // at least the size of the last frame
+		endBytes = 40   // bytes at the end of the content that include the last frame
 		keyTag   = 0x19 // protobuf tag that precedes an entry's key
 	)
 	plain := zstdDecompressed(t, sampleRecording(t, sampleLength))
@@ -132,7 +132,7 @@
 	return out.Bytes()
 }
 
-// Merging the two parts of a recording, in reverse order, gives the entries of the recording again.
+// Merging the two slices of a recording, given in reverse order, restores the entries of the recording.
 func TestMergeRevertsSlice(t *testing.T) {
 	file := sampleRecording(t, sampleLength)
 	entries := readEntries(t, file)
@@ -148,7 +148,7 @@
 	}
 }
 
-// A slice contains only the entries of its time range, and its times start where the range does.
+// A slice contains only the entries of its time range, and their arrivals count from the start of the range.
 func TestSliceStartsAtItsWindow(t *testing.T) {
 	file := sampleRecording(t, sampleLength)
 	_, back := sliceAt(t, file, 11*time.Second)
@@ -161,7 +161,7 @@
 	}
 }
 
-// Merging with align lets the recordings start at the same time.
+// With align, merged recordings start at the same time.
 func TestMergeAligned(t *testing.T) {
 	front, back := sliceAt(t, sampleRecording(t, sampleLength), 11*time.Second)
 	entries := readEntries(t, merge(t, front, back, true))
@@ -184,7 +184,7 @@
 			t.Errorf("rate %g: %g entries, want about %g", rate, got, want)
 		}
 		if last := entries[len(entries)-1].Arrival; last > 16*time.Second || last < 14*time.Second {
-			t.Errorf("rate %g, twice the speed: 30 s became %v", rate, last)
+			t.Errorf("rate %g, speed 2: the last entry arrives at %v, want about 15 s instead of 30 s", rate, last)
 		}
 	}
 }
--- a/internal/rehearsal/recording/import_test.go
+++ b/internal/rehearsal/recording/import_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// logWithMissingDurations returns a log in which every second entry has a duration, alternately 10 and
-// 20 ms.
+// logWithMissingDurations returns a log in which every second entry has a duration. These are 10 and
+// 20 ms alternately.
 func logWithMissingDurations() string {
 	const lines = 400
 	recorded := []float64{0.010, 0.020}
@@ -34,7 +34,7 @@
 		t.Errorf("%+v, want 200 recorded and 200 drawn from them", class)
 	}
 	if imported.report.Repairs["duration drawn"] != 200 || imported.report.Repaired != 200 {
-		t.Errorf("%d repaired, %v, want 200 durations that were drawn", imported.report.Repaired, imported.report.Repairs)
+		t.Errorf("%d repaired, %v, want 200 drawn durations", imported.report.Repaired, imported.report.Repairs)
 	}
 	short := 0
 	for _, entry := range imported.entries {
@@ -47,7 +47,7 @@
 		}
 	}
 	if short < 70 || short > 130 {
-		t.Errorf("%d of 200 drawn durations are the shorter of two", short)
+		t.Errorf("%d of 200 drawn durations are 10 ms, want 70 to 130", short)
 	}
 }
 
--- a/internal/rehearsal/recording/importer.go
+++ b/internal/rehearsal/recording/importer.go
@@ -37,8 +37,8 @@
 
 const defaultListedRejects = 1000
 
-// newRandomStream creates the random source of one purpose. As each purpose has its own source, the
-// numbers that are drawn for one do not depend on how many are drawn for another.
+// newRandomStream returns the random source for one purpose. Each purpose has its own source, so that the
+// numbers drawn for one purpose do not depend on how many are drawn for another.
 func newRandomStream(seed uint64, purpose string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(purpose)))
 }
@@ -50,10 +50,10 @@
 	report          *Report
 	sources         []*logSource
 	nextRun         int              // number of the next run on the spool
-	reservoirRandom *rand.Rand       // of the reservoirs of recorded durations
+	reservoirRandom *rand.Rand       // random source of the reservoirs of recorded durations
 	statistics      []ruleStatistics // by the rule's index
 
-	repairCounts [32]uint64 // number of entries by the bit of the repair
+	repairCounts [32]uint64 // number of repaired entries, by the repair's bit in Repair
 
 	bytesRead     int64 // approximate size of the accepted entries, decompressed
 	bytesReported int64 // value of bytesRead at the last call of Options.OnProgress
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// reportProgress adds the approximate size of an entry that was read, and calls Options.OnProgress at
-// the end of a file or if more than progressInterval was read since its last call.
+// reportProgress adds the approximate size of an entry to bytesRead. It calls Options.OnProgress at the
+// end of a file, and when more than progressInterval bytes were read since the last call.
 func (imp *importer) reportProgress(bytes int64, endOfFile bool) {
 	const progressInterval = 8 << 20 // bytes
 	if imp.options.OnProgress == nil {
--- a/internal/rehearsal/recording/rules.go
+++ b/internal/rehearsal/recording/rules.go
@@ -11,8 +11,8 @@
 	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
-// Rules determine the classes and the keys of a log's entries, and the values that replace
-// information that the log does not contain. ReadRules creates them. An entry that no rule matches is
+// Rules determine the classes and the keys of a log's entries, and the values to use for information
+// that the log does not contain. ReadRules creates them. An entry that no rule matches is
 // not part of the recording.
 type Rules struct {
 	Classes  []Rule   `toml:"class"`
@@ -120,7 +120,8 @@
 }
 
 // validate sets the defaults, checks the values and compiles the patterns. ruleKey names the rule in
-// errors. policies holds the retry policies by class of the rules before it, to which validate adds.
+// errors. policies holds the retry policies of the earlier rules, by class; validate adds that of the
+// rule.
 func (r *Rule) validate(ruleKey string, policies map[string]RetryPolicy) error {
 	if r.Name == "" || strings.ContainsAny(r.Name, "/ ?#\r\n\t") {
 		return fmt.Errorf("%s.name: %q is no name of a class", ruleKey, r.Name)
--- a/internal/rehearsal/recording/run.go
+++ b/internal/rehearsal/recording/run.go
@@ -50,10 +50,10 @@
 type runReader struct {
 	input         *bufio.Reader
 	file          io.Closer
-	entry         pendingEntry // that readNext read last
-	lastTimestamp int64        // of that entry, without the offset
+	entry         pendingEntry // the entry that readNext read last
+	lastTimestamp int64        // timestamp of that entry, without the offset
 	source        int          // index of the source
-	offset        int64        // of the source's clock, added to its timestamps, µs
+	offset        int64        // clock offset of the source, which is added to its timestamps, µs
 }
 
 func openRun(spool Spool, number, source int, offset int64) (*runReader, error) {
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// isEnd reports whether an error means the regular end of a run, not a truncated run.
+// isEnd reports whether an error means that a run has ended and is not truncated.
 func isEnd(err error) bool {
 	return errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
 }
--- a/internal/rehearsal/recording/secondspreader.go
+++ b/internal/rehearsal/recording/secondspreader.go
@@ -8,9 +8,9 @@
 // maxSpreadGroup is the largest number of entries of one second that are held back and spread together.
 const maxSpreadGroup = 1 << 16
 
-// secondSpreader gives the entries whose timestamps are whole seconds random times within their second,
-// without changing their order. If a second has more than maxSpreadGroup entries, it is divided: each
-// full group is spread over half of the remaining part of the second.
+// secondSpreader gives entries whose timestamps are whole seconds random times within their second,
+// without changing their order. It buffers at most maxSpreadGroup entries. If a second has more, they are
+// spread in several groups: each full group over half of the part of the second that is left.
 type secondSpreader struct {
 	emit           func(pendingEntry)
 	random         *rand.Rand
--- a/internal/rehearsal/recording/transform.go
+++ b/internal/rehearsal/recording/transform.go
@@ -13,8 +13,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
-// deriveHeader returns a copy of the header for a recording that is derived from this one. history says
-// how, and is appended to the header's history.
+// deriveHeader returns a copy of the header for a recording that is derived from this one. history
+// describes the derivation and is appended to the header's history.
 func (r *Reader) deriveHeader(history string) *recordingpb.Header {
 	header := proto.Clone(r.Header).(*recordingpb.Header)
 	header.Entries = 0
@@ -22,8 +22,8 @@
 	return header
 }
 
-// Slice writes a recording of the entries that arrive at from or later and before until, where 0 means
-// the end of the recording. The new recording starts at from.
+// Slice writes a recording of the entries that arrive at or after from and before until. If until is 0,
+// it writes all entries from there to the end. The new recording starts at from.
 func Slice(recording *Reader, out io.Writer, from, until time.Duration) error {
 	if from < 0 || until != 0 && until <= from {
 		return errors.New("slice: the window is empty")
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	// The recording is read to its end, which verifies that it is intact.
+	// The recording is read to its end even if until is earlier, to verify that it is intact.
 	err = recording.ForEach(func(entry *Entry) error {
 		if entry.Arrival < from || until != 0 && entry.Arrival >= until {
 			return nil
@@ -222,7 +222,7 @@
 	return writer.Close()
 }
 
-// keyOfCopy derives the key of an entry's copy from the entry's key. index numbers the copies.
+// keyOfCopy derives the key of an entry's copy from the entry's key. index is the copy's number, from 1.
 func keyOfCopy(key uint64, index int) uint64 {
 	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 / φ
 	if key == 0 {
--- a/internal/rehearsal/scale/cluster.go
+++ b/internal/rehearsal/scale/cluster.go
@@ -36,7 +36,7 @@
 func daemonZone(i, zones int) int       { return (i + 1) % zones } // the first daemon is not in the origin's zone
 
 // cluster holds all processes of one run: the origin, which publishes the endpoint list, the relays, the hollow
-// dispatchers, which have neither clients nor workers of their own, and the daemons, which are real dispatcher-serve
+// dispatchers, which have neither clients nor workers, and the daemons, which are real dispatcher-serve
 // processes. close stops all of them.
 type cluster struct {
 	scenario        *Scenario
--- a/internal/rehearsal/scale/link.go
+++ b/internal/rehearsal/scale/link.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// byteCounter counts the bytes of one client.
+// byteCounter counts the bytes that one client sends and receives through links.
 type byteCounter struct {
 	bytesDown atomic.Int64 // bytes sent to the client
 	bytesUp   atomic.Int64 // bytes received from the client
@@ -55,13 +55,13 @@
 
 	listener    net.Listener
 	bytesSent   atomic.Int64 // bytes sent by the server
-	connections atomic.Int64 // number of connections that are being forwarded
+	connections atomic.Int64 // number of connections whose data is being forwarded
 
 	mutex  sync.Mutex
 	target string // address of the server
 	cut    bool
 	conns  map[net.Conn]struct{} // connections to clients and to the server, including accepted ones that wait for the link to heal
-	healed chan struct{}         // a channel that is closed while the link is not cut
+	healed chan struct{}         // closed while the link is not cut; replaced when it is cut
 }
 
 func newLink(target, client string, counters *byteCounters) (*link, error) {
@@ -201,8 +201,8 @@
 // forwardBufferSize is the size of the buffer for each direction, in bytes.
 const forwardBufferSize = 16 << 10
 
-// forward copies data in one direction until either connection is closed, and calls onData before it writes. Data that is
-// read while the link is cut is not forwarded.
+// forward copies data in one direction until either connection is closed, and calls onData before each write. If it reads
+// data while the link is cut, it waits until the link heals, and then returns without forwarding the data.
 func (l *link) forward(destination, source net.Conn, onData func([]byte)) {
 	buffer := make([]byte, forwardBufferSize)
 	for {
--- a/internal/rehearsal/scale/origin.go
+++ b/internal/rehearsal/scale/origin.go
@@ -27,7 +27,8 @@
 	return append(text, '\n')
 }
 
-// loggedVersion is one version in the origin's log: the changed workers, also as the line that is sent to clients.
+// loggedVersion is one version in the origin's log. It holds the changed workers, and the line of JSON with these that is
+// sent to clients.
 type loggedVersion struct {
 	line  []byte
 	hosts []standin.Host
@@ -45,7 +46,7 @@
 	indexByName   map[string]int  // indices into hosts
 	log           []loggedVersion // the latest versions, up to latestVersion
 	snapshot      []byte          // the marshalled snapshot; nil if it is out of date
-	changed       chan struct{}   // closed at the next change
+	changed       chan struct{}   // closed and replaced at the next change
 }
 
 // heartbeatInterval is the interval at which empty lines are sent on a watch.
@@ -187,7 +188,8 @@
 	writer.Write(text)
 }
 
-// watch sends each version later than after as it is published, until the client disconnects.
+// watch sends each version later than after, those in the log at once and the others when they are published, until the
+// client disconnects.
 func (o *origin) watch(writer http.ResponseWriter, request *http.Request, after int64) {
 	flush := writer.(http.Flusher).Flush
 	heartbeat := time.NewTicker(heartbeatInterval)
--- a/internal/rehearsal/scale/plan.go
+++ b/internal/rehearsal/scale/plan.go
@@ -65,7 +65,7 @@
 	workersPerRack  = 40
 )
 
-// NewPlan makes the plan of a scenario.
+// NewPlan returns the plan of a scenario.
 func NewPlan(scenario *Scenario) *Plan {
 	planner := &planner{scenario: scenario, random: rand.New(rand.NewPCG(scenario.Seed, 1)), plan: &Plan{}}
 	for zone := range scenario.Zones {
@@ -108,7 +108,7 @@
 	}
 }
 
-// addSpread adds one step for each change, at even intervals over a period.
+// addSpread adds one step for each change. The steps are spread at even intervals over a period.
 func (p *planner) addSpread(phase string, begin, period time.Duration, changes []Change) {
 	for i, change := range changes {
 		offset := time.Duration(0)
@@ -147,7 +147,7 @@
 	return Change{Host: host}
 }
 
-// changesOf returns the change of each worker, which the function change creates.
+// changesOf returns one change for each worker, which it gets by calling change with the worker's index.
 func changesOf(workers []int, change func(int) Change) (changes []Change) {
 	for _, worker := range workers {
 		changes = append(changes, change(worker))
@@ -201,17 +201,17 @@
 	if len(candidates) == 0 {
 		return
 	}
-	pick := func() int { return candidates[p.random.IntN(len(candidates))] }
+	drawWorker := func() int { return candidates[p.random.IntN(len(candidates))] }
 	p.poisson(background.Changes, func(at time.Duration) {
-		p.addStep(Step{DueAt: at, Changes: [][]Change{{p.shareChangeOf(pick())}}})
+		p.addStep(Step{DueAt: at, Changes: [][]Change{{p.shareChangeOf(drawWorker())}}})
 	})
 	p.poisson(background.Failures, func(at time.Duration) {
-		worker := pick()
+		worker := drawWorker()
 		p.addStep(Step{DueAt: at, Changes: [][]Change{{p.removalOf(worker)}}})
 		p.addStep(Step{DueAt: at + replacementTime, Changes: [][]Change{{p.startOf(worker)}}})
 	})
 	p.poisson(background.Restarts, func(at time.Duration) {
-		worker := pick()
+		worker := drawWorker()
 		p.addStep(Step{DueAt: at, Changes: [][]Change{{p.drainOf(worker)}}})
 		p.addStep(Step{DueAt: at + restartTime, Changes: [][]Change{{p.startOf(worker)}}})
 	})
--- a/internal/rehearsal/scale/run_test.go
+++ b/internal/rehearsal/scale/run_test.go
@@ -65,31 +65,31 @@
 // checkPropagation checks that each planned version was published and applied by all reachable dispatchers.
 func checkPropagation(t *testing.T, run *Run) {
 	t.Helper()
-	made := len(run.tracker.publishedVersions)
+	published := len(run.tracker.publishedVersions)
 	planned := run.Plan.VersionCount()
-	if made != planned || planned < 20 {
-		t.Errorf("%d versions were published of %d planned", made, planned)
+	if published != planned || planned < 20 {
+		t.Errorf("%d versions were published, %d planned, want as many as planned and at least 20", published, planned)
 	}
 	if violations := run.Violations(); len(violations) > 0 {
 		t.Error(violations)
 	}
-	counted := 0
+	appliedEverywhere := 0
 	for _, phase := range run.tracker.phases() {
 		delays, missing := run.tracker.propagationDelays(phase)
-		counted += len(delays)
+		appliedEverywhere += len(delays)
 		if missing > 0 {
 			t.Errorf("%d versions of phase %s were never applied by all reachable dispatchers", missing, phase)
 		}
 	}
-	if counted != run.Plan.VersionCount() {
-		t.Errorf("%d versions of %d were applied by all reachable dispatchers", counted, run.Plan.VersionCount())
+	if appliedEverywhere != planned {
+		t.Errorf("%d of %d versions were applied by all reachable dispatchers", appliedEverywhere, planned)
 	}
 	if len(run.tracker.appliedVersions) != run.Scenario.Dispatchers {
-		t.Errorf("%d dispatchers reported of %d", len(run.tracker.appliedVersions), run.Scenario.Dispatchers)
+		t.Errorf("%d of %d dispatchers reported an applied version", len(run.tracker.appliedVersions), run.Scenario.Dispatchers)
 	}
 }
 
-// entriesOf returns the number of entries in all of the plan's changes.
+// entriesOf returns the number of endpoint list entries that all versions of the plan change, together.
 func entriesOf(plan *Plan) int {
 	entries := 0
 	for _, step := range plan.Steps {
@@ -100,8 +100,8 @@
 	return entries
 }
 
-// checkMessages checks that a dispatcher receives no more list updates than versions were published, and updates exactly
-// the entries that changed.
+// checkMessages checks that a dispatcher receives at most one list update for each published version, and that the updates
+// have exactly the entries that the plan changes.
 func checkMessages(t *testing.T, run *Run) {
 	t.Helper()
 	dispatchers := int64(run.Scenario.Dispatchers)
@@ -112,7 +112,7 @@
 		t.Errorf("%d list updates were received, not between %d and %d", updates, dispatchers, maxUpdates)
 	}
 	if want := dispatchers * int64(entriesOf(run.Plan)); entries != want {
-		t.Errorf("%d entries were updated, %d changed", entries, want)
+		t.Errorf("list updates had %d entries, want the %d that the plan changes", entries, want)
 	}
 	for name, versions := range run.tracker.appliedVersions {
 		if len(versions) > run.Plan.VersionCount()+1 { // and the version at the start
@@ -123,7 +123,7 @@
 
 // Overhead of HTTP in bytes, as an upper limit.
 const (
-	headBytes  = 400 // headers of a request and its response
+	headBytes  = 400 // heads of a request and its response
 	frameBytes = 16  // chunked encoding of a line
 )
 
@@ -155,8 +155,8 @@
 	return int64(len(version.line()))
 }
 
-// checkBytes checks by the number of bytes that a dispatcher receives the snapshot once, each delta at most once, and
-// nothing else but heartbeats.
+// checkBytes checks that the number of bytes of each dispatcher fits what it should receive: the snapshot once, each delta
+// at most once, and otherwise only heartbeats.
 func checkBytes(t *testing.T, run *Run) {
 	t.Helper()
 	snapshot, deltas := lineBytes(run.Plan)
@@ -173,8 +173,8 @@
 	}
 }
 
-// checkAllocations checks that the number of heap allocations depends on the number of versions and not on that of listed
-// workers: with more workers, one allocation for each worker and version would exceed the limit by far.
+// checkAllocations checks that the number of heap allocations grows with the number of versions and not with that of
+// listed workers: with more workers, one allocation for each worker and version would exceed the limit by far.
 func checkAllocations(t *testing.T, run *Run) {
 	t.Helper()
 	const (
@@ -228,8 +228,9 @@
 	}
 }
 
-// A small run by relays has the planned numbers of versions, messages, bytes and allocations, though a relay is killed and
-// restarted. The test binary runs as the origin and as the hollow dispatchers; the relay program is built by the test.
+// A small run in which dispatchers follow relays has the planned numbers of versions, messages, bytes and allocations, even
+// though a relay is killed and restarted. The test binary runs as the origin and as the hollow dispatchers; the test builds
+// the relay program.
 func TestSmallRunByRelays(t *testing.T) {
 	programs := testPrograms()
 	programs.Relay = filepath.Join(t.TempDir(), "membership-relay")
@@ -251,10 +252,10 @@
 	}
 }
 
-// checkRelayedMessages checks that no dispatcher receives more list updates than versions were published, though it moves
-// to another relay, nor more bytes than two snapshots, the deltas and its acknowledgements. The dispatchers of the zone
-// whose relay is restarted may receive all changed entries twice: the restarted relay knows which entries changed, but not
-// by which version, and may send all of them again.
+// checkRelayedMessages checks that a dispatcher receives at most one list update for each published version, even though
+// some dispatchers move to another relay, and at most the bytes of two snapshots, the deltas and its acknowledgements. The
+// dispatchers of the zone whose relay is restarted may receive all changed entries twice: the restarted relay knows which
+// entries changed, but not by which version, and may send all of them again.
 func checkRelayedMessages(t *testing.T, run *Run) {
 	t.Helper()
 	const acknowledgementBytes = 500 // one acknowledgement with its response
@@ -264,9 +265,9 @@
 	if updates < dispatchers || updates > maxUpdates {
 		t.Errorf("%d list updates were received, not between %d and %d", updates, dispatchers, maxUpdates)
 	}
-	cameBack := dispatchers / int64(run.Scenario.Zones)
+	ofRestartedRelay := dispatchers / int64(run.Scenario.Zones)
 	entries := run.countersAtEnd.Entries - run.countersAtStart.Entries
-	maxEntries := (dispatchers + cameBack) * int64(entriesOf(run.Plan))
+	maxEntries := (dispatchers + ofRestartedRelay) * int64(entriesOf(run.Plan))
 	if entries < dispatchers || entries > maxEntries {
 		t.Errorf("%d entries were updated, not between %d and %d", entries, dispatchers, maxEntries)
 	}
--- a/internal/rehearsal/scale/tracker.go
+++ b/internal/rehearsal/scale/tracker.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// publishedVersion is a version that the origin has published, and the phase of the run in which it did.
+// publishedVersion is a version that the origin has published. Its phase is that of the step that published it.
 type publishedVersion struct {
 	version     int64
 	publishedAt time.Duration
@@ -24,7 +24,7 @@
 type outage struct {
 	from          time.Duration
 	until         time.Duration // outageOngoing while the outage lasts
-	phase         string        // of the event that ended it
+	phase         string        // kind of the event that ended it
 	newestVersion int64         // the newest published version when it ended
 }
 
@@ -90,8 +90,8 @@
 	return version, len(outages) == 0 || outages[len(outages)-1].until < outageOngoing
 }
 
-// firstApplied returns when a dispatcher, at or after the time from, first applied the given version or a later one. It
-// returns false if the dispatcher never did.
+// firstApplied returns the time at which a dispatcher first applied the given version or a later one, not counting what
+// it applied before the time from. It returns false if there is no such time.
 func (t *tracker) firstApplied(name string, version int64, from time.Duration) (time.Duration, bool) {
 	applied := t.appliedVersions[name]
 	i := sort.Search(len(applied), func(i int) bool { return applied[i].version >= version && applied[i].appliedAt >= from })
@@ -102,7 +102,7 @@
 }
 
 // reachableUntil reports whether a dispatcher was reachable all the time from the publication of a version until it applied
-// that version. A dispatcher that was unreachable meanwhile is counted by catchUpDelays instead.
+// that version. A dispatcher that was unreachable in between is counted by catchUpDelays instead.
 func (t *tracker) reachableUntil(name string, changedAt, appliedAt time.Duration) bool {
 	return !slices.ContainsFunc(t.outages[name], func(o outage) bool { return o.from <= appliedAt && changedAt <= o.until })
 }
@@ -131,7 +131,8 @@
 	lastDispatcher string        // the dispatcher that applied it last or, if not everywhere, one that never did
 }
 
-// propagationOf returns how a version reached the dispatchers that were reachable until they applied it.
+// propagationOf returns how a version reached the dispatchers. It leaves out those that were unreachable at any time before
+// they applied the version.
 func (t *tracker) propagationOf(published publishedVersion) propagation {
 	reached := propagation{everywhere: true}
 	for name := range t.appliedVersions {
@@ -162,8 +163,8 @@
 }
 
 // catchUpDelays returns how long each dispatcher took, in seconds, from the end of an outage until it applied the version
-// that was the newest at that time, by the event that ended the outage. missing is the number of outages after which the
-// dispatcher never applied it.
+// that was the newest at that time. The delays are grouped by the kind of the event that ended the outage. missing is the
+// number of outages after which the dispatcher never applied that version.
 func (t *tracker) catchUpDelays() (delays map[string][]float64, missing int) {
 	delays = map[string][]float64{}
 	for name, outages := range t.outages {
--- a/internal/tools/testgate/results.go
+++ b/internal/tools/testgate/results.go
@@ -12,7 +12,7 @@
 // maxEventBytes is the maximum length of a line of go test's output.
 const maxEventBytes = 16 << 20
 
-// action is what an event reports.
+// action says what happened in an event.
 type action string
 
 // The actions of `go test -json` that are evaluated.
@@ -42,10 +42,10 @@
 // results collects the outcome of each test and each package.
 type results struct {
 	out          io.Writer
-	outcomes     map[testName]action   // the last of run, pass, fail and skip
+	outcomes     map[testName]action   // the latest of actionRun, actionPass, actionFail and actionSkip
 	finished     int                   // tests that passed, failed or were skipped
 	output       map[testName][]string // of tests that have not finished
-	failedBuilds []string              // packages
+	failedBuilds []string              // packages that do not build
 }
 
 // newResults returns empty results. What the tests print is written to out.
@@ -148,9 +148,9 @@
 	return testName{}, ""
 }
 
-// otherFailures returns the failures that are not tolerated. Failures of a package or
-// test that are only due to its tests or subtests are left out. A test that has begun
-// and has no outcome has ended the test process, for example by a panic.
+// otherFailures returns the failures that are not tolerated. It leaves out a package or
+// test that failed only because of its tests or subtests. A test that has begun and has
+// no outcome has ended the test process, for example by a panic, and counts as failed.
 func (r *results) otherFailures(tolerated map[testName]bool) (errs []error) {
 	for name, outcome := range r.outcomes {
 		switch {
@@ -163,9 +163,9 @@
 	return errs
 }
 
-// failsByInner reports whether the failure of a package or test is due to that of
-// something in it, which is evaluated separately: for a package any failed test, for a
-// test a tolerated subtest.
+// failsByInner reports whether a package or test failed because of something in it that
+// is evaluated separately: a package because of any failed test, a test because of a
+// tolerated subtest.
 func (r *results) failsByInner(outer testName, tolerated map[testName]bool) bool {
 	for inner, outcome := range r.outcomes {
 		if outcome != actionFail || !outer.contains(inner) {
