--- a/internal/rehearsal/capacity/measure.go
+++ b/internal/rehearsal/capacity/measure.go
@@ -13,7 +13,7 @@
 type Config struct {
 	Program     string                     // path of the daemon, dispatcher-serve
 	Sizes       []int                      // numbers of listed workers to measure
-	Repetitions int                        // of each size
+	Repetitions int                        // number of measurements at each size
 	IdleTime    time.Duration              // how long the daemon is measured while nothing changes
 	DeltaTime   time.Duration              // how long the daemon is measured while workers change one by one
 	DeltaRate   float64                    // changes per second during DeltaTime
@@ -24,7 +24,7 @@
 
 const (
 	kindName            = "standard"
-	cellWorkers         = 40 // number of workers in a cell; no decision in these measurements depends on it
+	cellWorkers         = 40 // number of workers in a cell, which the endpoint list calls block; no decision in these measurements depends on it
 	idleSampleInterval  = 50 * time.Millisecond
 	requiredIdleSamples = 4                     // consecutive samples in which the daemon must be idle
 	maxIdleCPU          = time.Millisecond      // processor time between two samples up to which the daemon counts as idle
--- a/internal/rehearsal/capacity/module.go
+++ b/internal/rehearsal/capacity/module.go
@@ -12,7 +12,7 @@
 	moduleDeltas        = 200  // deltas in a measurement
 	requestsPerRun      = 2000 // requests in a measurement without workers in slow start
 	slowStartRequests   = 200  // requests in a measurement with workers in slow start
-	workersPerSlowStart = 10   // one in this many workers is in slow start
+	workersPerSlowStart = 10   // every tenth worker is in slow start
 
 	// requestInterval is the time between two requests at one dispatcher if 300 dispatchers together receive the
 	// target's 8,000 requests per second.
--- a/internal/rehearsal/capacity/needs.go
+++ b/internal/rehearsal/capacity/needs.go
@@ -10,7 +10,7 @@
 	secondsPerHour = 3600
 )
 
-// Needs computes what the target needs from each role, sorted by headroom in ascending order.
+// Needs computes what the target requires of each role, sorted by headroom in ascending order.
 func (b *Basis) Needs() ([]Row, error) {
 	measured, err := b.figuresAtTarget()
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// originRows returns the needs of discovery if every dispatcher watches it, for each assumed number of dispatchers.
+// originRows returns, for each assumed number of dispatchers, the needs of discovery if every dispatcher watches it.
 func (b *Basis) originRows(measured runFigures, flow Flow) (rows []Row) {
 	target := b.Target
 	mechanisms := b.Mechanisms
@@ -138,8 +138,8 @@
 	})
 }
 
-// machineRows returns the needs of one control machine if the control machines relay to the dispatchers. One of them is
-// down, and each of the others serves an equal part of the dispatchers.
+// machineRows returns the needs of one control machine if the control machines run the relays that dispatchers follow. It
+// assumes that one control machine is down and that each of the others serves an equal part of the dispatchers.
 func (b *Basis) machineRows(measured runFigures, flow Flow) (rows []Row) {
 	target := b.Target
 	bytesAllowed := b.Assumed.MachineBytes.Quantity()
--- a/internal/rehearsal/capacity/quantity.go
+++ b/internal/rehearsal/capacity/quantity.go
@@ -47,8 +47,8 @@
 	Sources []string // the runs and assumptions from which it is computed, without duplicates
 }
 
-// combined returns the mark and the sources of a figure that is computed from two quantities. The mark is the less certain
-// one of both, but at least Extrapolated if one of them is measured.
+// combined returns the mark and the sources of a figure that is computed from two quantities. The mark is that of the less
+// certain quantity, but Extrapolated instead of Measured, since the result itself is not measured.
 func (q Quantity) combined(other Quantity) (Mark, []string) {
 	mark := max(q.Mark, other.Mark)
 	if mark == Measured {
@@ -137,8 +137,8 @@
 	secondPrefixes = []unitPrefix{{1, 1, "s"}, {1e-3, 1e3, "ms"}, {0, 1e6, "µs"}}
 )
 
-// formatWithPrefix returns a value as text in the first of the prefixes, which are in descending order, whose minimum it
-// reaches.
+// formatWithPrefix returns a value as text. It uses the first of the prefixes whose minimum the value reaches; they must be
+// in descending order.
 func formatWithPrefix(value float64, prefixes []unitPrefix) string {
 	for _, prefix := range prefixes {
 		if math.Abs(value) >= prefix.min {
--- a/internal/rehearsal/capacity/scaleneeds.go
+++ b/internal/rehearsal/capacity/scaleneeds.go
@@ -95,8 +95,8 @@
 	return len(name) > len(prefix)+len(suffix) && strings.HasPrefix(name, prefix) && strings.HasSuffix(name, suffix)
 }
 
-// scaleRows returns the needs that scale runs with the target's number of workers measured: for each bounded figure and
-// mechanism, the largest value of any run.
+// scaleRows returns the needs that were measured by scale runs with the target's number of workers. For each bounded figure
+// and mechanism, the need is the largest value of any run.
 func (b *Basis) scaleRows(runs []ScaleRun) (rows []Row) {
 	for _, figure := range boundedFigures {
 		for _, mechanism := range []string{byDiscovery, byRelays} {
--- a/internal/rehearsal/recording/clockcorrector.go
+++ b/internal/rehearsal/recording/clockcorrector.go
@@ -4,22 +4,21 @@
 
 // Limits of a source's clock, in microseconds.
 const (
-	// maxCompletionDisorder is by how much the completion of a line may be earlier than that of a
-	// line above it, since the worker processes of a server write to the log independently.
+	// maxCompletionDisorder is how much earlier than a line above it a line may have been completed,
+	// since the worker processes of a server write to the log independently.
 	maxCompletionDisorder = 2 * second
 	// maxArrivalDisorder is the same limit if timestamps mark arrivals and no duration is recorded,
 	// so that the completions are not known.
 	maxArrivalDisorder = 120 * second
-	// maxForwardJump is the longest gap after which an entry is not suspected to be an outlier.
-	// The log of a night without requests may have a longer gap, which the entries after it
-	// confirm.
+	// maxForwardJump is the longest gap before an entry that does not make the entry suspect. A night
+	// without requests may leave a longer gap; the entries after it then confirm the suspect.
 	maxForwardJump = 6 * 3600 * second
-	// resumeWindow is how long after the last certain completion an entry may be that ends a
-	// suspicion: the suspects before it are then outliers.
+	// resumeWindow applies while there are suspects: an entry that completed at most this long after
+	// the last certain completion shows that the suspects before it are outliers.
 	resumeWindow = 3600 * second
 )
 
-// stepConfirmations is the number of suspects in sequence after which a step is accepted.
+// stepConfirmations is the number of consecutive suspects that are enough to accept their timestamps.
 const stepConfirmations = 8
 
 // clockCorrector corrects the timestamps of one source for steps of its clock and for outliers. An
@@ -29,10 +28,10 @@
 	emit            func(pendingEntry)
 	unordered       bool // the entries are in no particular order, as in HAR files, and are not corrected
 	started         bool
-	lastCertain     int64 // latest completion whose timestamp is certain
-	correction      int64 // added to all timestamps after steps back of the clock
+	lastCertain     int64 // latest completion of an entry whose timestamp is certain
+	correction      int64 // sum of the clock's steps back so far, added to all timestamps
 	suspects        []pendingEntry
-	suspectsEarlier bool // the suspects are earlier than lastCertain; otherwise far later
+	suspectsEarlier bool // the suspects are earlier than lastCertain; if false, they are far later
 
 	StepsBack           int
 	SteppedMicroseconds int64 // sum of the steps back
@@ -48,8 +47,8 @@
 	return p.timestamp
 }
 
-// tolerance returns by how much the completion may be earlier than that of a previous entry without a
-// step of the clock.
+// tolerance returns how much earlier than that of a previous entry the completion may be, without being
+// taken for a step of the clock.
 func (p *pendingEntry) tolerance() int64 {
 	if p.timestampMarksArrival && p.duration < 0 {
 		return maxArrivalDisorder
@@ -81,7 +80,7 @@
 			c.addSuspect(entry)
 			return
 		}
-		c.releaseOutliers() // as this entry continues from lastCertain
+		c.releaseOutliers() // since this entry continues from lastCertain
 	}
 	if behind || completion > c.lastCertain+maxForwardJump {
 		c.suspectsEarlier = behind
@@ -123,8 +122,8 @@
 	c.suspects = c.suspects[:0]
 }
 
-// acceptSuspects accepts the timestamps of the suspects. Either the clock has stepped back, which is
-// added to the correction, or there were no requests for a long time.
+// acceptSuspects accepts the timestamps of the suspects: either the clock has stepped back, and the step
+// is added to the correction, or there were no requests for a long time.
 func (c *clockCorrector) acceptSuspects() {
 	if len(c.suspects) == 0 {
 		return
@@ -144,8 +143,8 @@
 	}
 }
 
-// finish emits the suspects that are held back at the end of a file. Several suspects are accepted. A
-// single one, which no other entry confirms, is an outlier; accepting several may leave one suspect.
+// finish emits the suspects that are held back at the end of a file. It accepts several suspects, since
+// they confirm each other. A single one, also one that is left after accepting others, is an outlier.
 func (c *clockCorrector) finish() {
 	for len(c.suspects) > 1 {
 		c.acceptSuspects() // accepts at least the first of them
--- a/internal/rehearsal/recording/clockoffset.go
+++ b/internal/rehearsal/recording/clockoffset.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// signatureSample stores when a source logged requests, for a sample of its requests. The sample of
-// each source consists of the requests with the lowest signatures, so that the samples of two sources
-// overlap however many requests each source has.
+// signatureSample stores the timestamps of a sample of a source's requests. The sample consists of the
+// requests with the lowest signatures, so that the samples of two sources overlap even if one source has
+// far more requests than the other.
 type signatureSample struct {
 	seen         map[uint64]sighting
 	maxSignature uint64 // entries with higher signatures are not stored
 }
 
-// sighting is the last entry with a signature, and how many there are.
+// sighting describes the entries of a source that have the same signature.
 type sighting struct {
-	timestamp int64
-	count     int32 // number of entries with the signature
+	timestamp int64 // timestamp of the latest of these entries, µs
+	count     int32 // number of these entries
 }
 
 // maxSightings bounds the size of a sample.
@@ -49,9 +49,9 @@
 
 const (
 	minOffsetPairs = 5
-	// offsetPairWindow is how far apart two timestamp differences that agree may be, in
-	// microseconds. Each difference is one of two timestamps, which may be of whole seconds and
-	// then are each off by up to one second.
+	// offsetPairWindow is the largest distance, in microseconds, between two timestamp differences
+	// that agree. Each of them is the difference of two timestamps, either of which is off by up to
+	// one second if its resolution is a second.
 	offsetPairWindow = 2 * second
 )
 
@@ -102,8 +102,8 @@
 	return largest
 }
 
-// mayAgreeByChance reports whether a cluster of the given size might also come about if the pairs
-// were of different requests, whose timestamp differences are uniformly distributed.
+// mayAgreeByChance reports whether a cluster of the given size could also be found if each pair consisted
+// of two different requests, so that the timestamp differences were uniformly distributed.
 func mayAgreeByChance(differences []int64, cluster int) bool {
 	width := differences[len(differences)-1] - differences[0]
 	if width <= offsetPairWindow {
--- a/internal/rehearsal/recording/duplicates.go
+++ b/internal/rehearsal/recording/duplicates.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// duplicateFilter finds requests that several sources logged, by entries with equal signatures within
-// a time window. It remembers each entry for twice the widest window.
+// duplicateFilter finds the entries of requests that another source logged too: those with the same
+// signature within a time window. It remembers each entry for twice the widest window.
 type duplicateFilter struct {
 	windows    []int64                  // by source, µs; 0 for a source that is not compared
-	unmatched  map[uint64][]sourceEntry // remembered entries by signature, without those whose duplicate was found
+	unmatched  map[uint64][]sourceEntry // by signature: remembered entries that no duplicate was found of
 	remembered []sourceEntry            // remembered entries in the order of their timestamps
 }
 
@@ -17,8 +17,8 @@
 	source    int
 }
 
-// isDuplicate reports whether an earlier entry of another source is of the same request. It must be
-// called with the entries in the order of their timestamps.
+// isDuplicate reports whether another source has an earlier entry for the same request. It must be called
+// with the entries in the order of their timestamps.
 func (f *duplicateFilter) isDuplicate(source int, entry *pendingEntry) bool {
 	window := f.windows[source]
 	if window == 0 {
--- a/internal/rehearsal/recording/firstpass.go
+++ b/internal/rehearsal/recording/firstpass.go
@@ -41,8 +41,8 @@
 	return err
 }
 
-// readFile reads one file. An error of the file is reported as a truncation of its source; the
-// returned error is one of the spool.
+// readFile reads one file. If the file cannot be read to its end, the source's report says so as a
+// truncation. The returned error comes from the spool.
 func (imp *importer) readFile(source *logSource, file *inputFile) error {
 	report := source.report
 	report.Files = append(report.Files, file.File)
@@ -79,7 +79,7 @@
 }
 
 // countEntry counts one entry as accepted, malformed, unmapped or ignored, and passes an accepted one
-// to the clock corrector of its source. The returned error is one of the spool.
+// to the clock corrector of its source. The returned error comes from the spool.
 func (imp *importer) countEntry(source *logSource, file *inputFile, position entryPosition, raw *RawEntry, malformed error) error {
 	const typicalLineBytes = 256
 	counts := &source.report.Counts
@@ -117,8 +117,8 @@
 	}
 }
 
-// newPendingEntry reduces an accepted entry to the values that the recording needs. Of the key's
-// token and of the target only hashes are kept.
+// newPendingEntry reduces an accepted entry to the values that the recording needs. It keeps only hashes
+// of the key's token and of the target.
 func (imp *importer) newPendingEntry(source *logSource, raw *RawEntry, rule int, token string) pendingEntry {
 	entry := pendingEntry{
 		timestamp:             raw.Timestamp,
--- a/internal/rehearsal/recording/format_test.go
+++ b/internal/rehearsal/recording/format_test.go
@@ -12,7 +12,7 @@
 
 const quarterSecond = 250 * millisecond
 
-// formatCases contains lines of all formats and the entries that are parsed from them.
+// formatCases contains lines of all formats and the entries that must be parsed from them.
 var formatCases = []struct {
 	format string
 	line   string
@@ -173,7 +173,7 @@
 	}
 }
 
-// Descriptions of unknown, incomplete or ambiguous formats are rejected.
+// Compile rejects the descriptions of unknown, incomplete and ambiguous formats.
 func TestInvalidFormats(t *testing.T) {
 	for _, text := range []string{
 		"xml",
@@ -182,7 +182,7 @@
 		"json:time", "json:size=x",
 	} {
 		if _, err := Compile(text, nil); err == nil {
-			t.Errorf("%q was compiled", text)
+			t.Errorf("%q was compiled, want an error", text)
 		}
 	}
 }
--- a/internal/rehearsal/recording/golden_test.go
+++ b/internal/rehearsal/recording/golden_test.go
@@ -50,7 +50,7 @@
 	rejects []byte // as JSON lines
 }
 
-// importGoldenLogs imports the two short logs in testdata, which have some requests in common.
+// importGoldenLogs imports the two short logs in testdata. Some requests are in both logs.
 func importGoldenLogs(t *testing.T, secret string) goldenImport {
 	t.Helper()
 	rulesText := readGolden(t, "rules.toml")
@@ -82,7 +82,7 @@
 	return goldenImport{file: out.Bytes(), report: report, rejects: rejects.Bytes()}
 }
 
-// describeCounts formats counts without the names of the fields.
+// describeCounts formats counts as text that does not depend on the names of the fields.
 func describeCounts(counts *recordingpb.Counts) string {
 	return fmt.Sprintf("read %d, accepted %d, malformed %d, unmapped %d, ignored %d, repaired %d",
 		counts.GetRead(), counts.GetAccepted(), counts.GetMalformed(), counts.GetUnmapped(), counts.GetIgnored(), counts.GetRepaired())
--- a/internal/rehearsal/recording/lines.go
+++ b/internal/rehearsal/recording/lines.go
@@ -11,7 +11,7 @@
 // entryPosition is the position of a log line or a HAR entry in its file.
 type entryPosition struct {
 	line   int   // number of the line or, in a HAR file, of the entry, from 1
-	offset int64 // of its first byte in the decompressed file
+	offset int64 // offset of its first byte in the decompressed file
 }
 
 // entryHandler handles one entry. If the entry is malformed, malformed says why and raw is nil. raw is
@@ -51,8 +51,8 @@
 	tooLong bool
 }
 
-// readLine reads the next line. Of a line that is longer than the buffer of input it skips the rest.
-// The text is valid until the next read.
+// readLine reads the next line. If the line is longer than the buffer of input, it skips the part beyond
+// that. The text is valid until the next read.
 func readLine(input *bufio.Reader) (rawLine, error) {
 	text, err := input.ReadSlice('\n')
 	line := rawLine{text: text, size: int64(len(text)), tooLong: errors.Is(err, bufio.ErrBufferFull)}
--- a/internal/rehearsal/recording/logsource.go
+++ b/internal/rehearsal/recording/logsource.go
@@ -17,12 +17,12 @@
 	signatures      *signatureSample // nil if there is no other source, and once the offsets are known
 	earliestArrival int64            // earliest arrival, µs; math.MaxInt64 if there is no entry
 	latestArrival   int64            // latest arrival, µs
-	wholeSeconds    bool             // at least one accepted timestamp is of whole seconds
-	sequence        uint64           // of the next entry
+	wholeSeconds    bool             // at least one accepted timestamp has a resolution of a second
+	sequence        uint64           // sequence number of the next entry
 	offset          ClockOffset      // set by alignClocks
 }
 
-// sortFiles sorts the files by their first timestamps, and reports whether that changed their order in
+// sortFiles sorts the files by their first timestamps. If that changes their order, it sets Reordered in
 // the source's report.
 func (s *logSource) sortFiles() {
 	slices.SortStableFunc(s.files, func(a, b *inputFile) int { return cmp.Compare(a.firstTimestamp, b.firstTimestamp) })
--- a/internal/rehearsal/recording/reservoir.go
+++ b/internal/rehearsal/recording/reservoir.go
@@ -14,7 +14,7 @@
 // maxReservoirValues bounds the size of a sample.
 const maxReservoirValues = 4096
 
-// add adds a value to the values that are sampled from, by algorithm R of reservoir sampling.
+// add offers a value to the sample, by algorithm R of reservoir sampling.
 func (r *reservoir) add(value int64, random *rand.Rand) {
 	r.added++
 	if len(r.values) < maxReservoirValues {
--- a/internal/rehearsal/recording/sorter.go
+++ b/internal/rehearsal/recording/sorter.go
@@ -20,18 +20,18 @@
 	runBufferBytes   = 32 << 10 // buffer of each open run
 )
 
-// sorter writes the entries of one source as sorted runs by replacement selection: of the entries in
-// memory it writes the earliest one that is not earlier than the last one written. An input that is
-// nearly sorted therefore gives a single run. After an error, stored in err, it ignores entries.
+// sorter writes the entries of one source as sorted runs by replacement selection: it always writes the
+// earliest of those entries in memory that are not earlier than the last one written. A nearly sorted
+// input therefore gives a single run. After an error, stored in err, it ignores entries.
 type sorter struct {
 	spool         Spool
 	nextRun       *int           // number of the next run on the spool, shared by the sources
 	runs          []int          // numbers of the runs that were written
 	currentRun    entryHeap      // entries of the run that is being written
-	followingRun  entryHeap      // entries of the run after it, which are earlier than the last entry written
+	followingRun  entryHeap      // entries of the next run: those that are earlier than the last entry written
 	entries       []pendingEntry // entries in memory, to which the items of the heaps refer
 	freeIndexes   []int32        // unused indexes of entries
-	output        *bufio.Writer  // of the run that is being written; nil if there is none
+	output        *bufio.Writer  // writer of the current run; nil if none is being written
 	file          io.Closer
 	lastTimestamp int64 // of the last entry written to the current run
 	buffer        []byte
--- a/internal/rehearsal/scale/child.go
+++ b/internal/rehearsal/scale/child.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// stopTimeout is how long a child may take to exit after it is asked to.
+// stopTimeout is the time that a child has to exit after it is asked to.
 const stopTimeout = 3 * time.Second
 
-// maxLogBytes is how much of a child's standard error is kept.
+// maxLogBytes is the number of bytes of a child's standard error that are kept.
 const maxLogBytes = 64 << 10
--- a/internal/rehearsal/scale/network.go
+++ b/internal/rehearsal/scale/network.go
@@ -11,13 +11,13 @@
 	server   string // name of the server
 }
 
-// network holds all links of a run, through which all control traffic passes, and the zones and regions that are cut off.
+// network holds the links of a run, which carry all control traffic, and the zones and regions that are cut off.
 type network struct {
 	zones           int
 	regions         int
 	byteCounters    byteCounters
 	links           []*zoneLink
-	lostZones       map[int]bool // cut off from all zones
+	lostZones       map[int]bool // cut off from all zones, even from themselves
 	isolatedRegions map[int]bool // cut off from the other regions
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// serverLoad returns, by server, how many bytes it has sent and how many connections to it are open.
+// serverLoad returns, by the server's name, the number of bytes that it has sent and the number of open connections to it.
 func (n *network) serverLoad() (sent, open map[string]int64) {
 	sent = map[string]int64{}
 	open = map[string]int64{}
--- a/internal/rehearsal/scale/report.go
+++ b/internal/rehearsal/scale/report.go
@@ -113,7 +113,7 @@
 	return names
 }
 
-// writeComparisons writes a line for each metric on how hollow dispatchers differ from daemons.
+// writeComparisons writes one line for each compared metric, which says how hollow dispatchers differ from daemons.
 func writeComparisons(out io.Writer, run *Run) {
 	for _, comparison := range run.Compare() {
 		fmt.Fprintf(out, "%s: %s of a hollow dispatcher %.4g, of a real one in its zone %.4g: %+.0f%%", run.Mechanism, comparison.Metric, comparison.Hollow, comparison.Real, 100*comparison.Deviation)
@@ -125,8 +125,8 @@
 }
 
 // WriteChanges writes CSV with a line for each version of each run: when it was published, how long it took until the last
-// reachable dispatcher had applied it, and which dispatcher that was. If a reachable dispatcher never applied it the line
-// has "never" and names that dispatcher.
+// reachable dispatcher had applied it, and which dispatcher that was. If a reachable dispatcher never applied it, the line
+// has "never" instead of the time, and names that dispatcher.
 func WriteChanges(out io.Writer, runs []*Run) error {
 	records := csv.NewWriter(out)
 	records.Write([]string{"mechanism", "version", "made_s", "phase", "in_force_s", "last_at"})
--- a/internal/rehearsal/scale/run_test.go
+++ b/internal/rehearsal/scale/run_test.go
@@ -178,11 +178,11 @@
 func checkAllocations(t *testing.T, run *Run) {
 	t.Helper()
 	const (
-		perChange = 250   // for each version at one dispatcher, including JSON decoding and reports
-		perRun    = 1_000 // for each dispatcher over the run: timers and heartbeats
+		perVersion = 250   // for each version at one dispatcher, including JSON decoding and reports
+		perRun     = 1_000 // for each dispatcher over the run: timers and heartbeats
 	)
 	dispatchers := uint64(run.Scenario.Dispatchers)
-	limit := dispatchers * (perChange*uint64(run.Plan.VersionCount()) + perRun)
+	limit := dispatchers * (perVersion*uint64(run.Plan.VersionCount()) + perRun)
 	if got := run.countersAtEnd.Allocations - run.countersAtStart.Allocations; got > limit {
 		t.Errorf("%d allocations, more than %d", got, limit)
 	}
