--- a/cmd/rehearse/import.go
+++ b/cmd/rehearse/import.go
@@ -72,7 +72,7 @@
 	return options, nil
 }
 
-// importTo imports the inputs into a file. If it returns both a report and an error, the report is valid.
+// importTo imports the inputs into a file. It may return both a report and an error; the report is then valid.
 func (c *importCmd) importTo(env *environment, path string) (report *recording.Report, err error) {
 	options, err := c.options()
 	if err != nil {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -15,11 +15,11 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes: all rules held; a rule or --strict was violated; the command could not be carried out.
+// Exit codes.
 const (
-	exitSuccess   = 0
-	exitViolation = 1
-	exitFailure   = 2
+	exitSuccess   = 0 // the command was carried out, and no rule was violated
+	exitViolation = 1 // a rule or --strict was violated
+	exitFailure   = 2 // the command could not be carried out
 )
 
 // violationError is an error that means exit code 1: a rule was violated.
@@ -35,7 +35,7 @@
 	errIsTerminal bool         // errOut is a terminal
 }
 
-// newEnvironment makes the environment of a command. logFormat is a value of --log-format.
+// newEnvironment returns the environment of a command. logFormat is a value of --log-format.
 func newEnvironment(in io.Reader, out, errOut io.Writer, logFormat string) *environment {
 	var handler slog.Handler = slog.NewTextHandler(errOut, nil)
 	if logFormat == "json" {
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -36,7 +36,7 @@
 }
 
 const (
-	targetUtilization = 0.6  // share of the workers' capacity that is used in the busiest window
+	targetUtilization = 0.6  // share of the workers' capacity that the busiest window may use
 	meanWorkerSpeed   = 2.3  // slots times speed of a worker, mean over the kinds of stand-ins
 	meanSlotSpeed     = 0.83 // speed of a slot, mean over the kinds of stand-ins
 	minWorkers        = 3
--- a/cmd/rehearse/slopes.go
+++ b/cmd/rehearse/slopes.go
@@ -86,8 +86,8 @@
 	return writeAtomically(c.Output, func(w io.Writer) error { return writeJSON(w, combined) })
 }
 
-// combine returns the measurements to write: those of this run, or, depending on the flags, those of the output file to
-// which this run's are added or in which they replace series.
+// combine returns the measurements to write. With --append it adds those of this run to the ones in the output file, and
+// with --module it replaces series in that file. Otherwise, or if there is no file, it returns those of this run.
 func (c *slopesCmd) combine(measured capacity.Slopes) (capacity.Slopes, error) {
 	if !c.Append && !c.ModuleOnly {
 		return measured, nil
--- a/internal/rehearsal/capacity/module.go
+++ b/internal/rehearsal/capacity/module.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	moduleDeltas        = 200  // deltas in a measurement
-	requestsPerRun      = 2000 // requests in a measurement without workers in slow start
-	slowStartRequests   = 200  // requests in a measurement with workers in slow start
-	workersPerSlowStart = 10   // every tenth worker is in slow start
+	moduleDeltas          = 200  // deltas in a measurement
+	requestsPerRun        = 2000 // requests in a measurement without workers in slow start
+	slowStartRequests     = 200  // requests in a measurement with workers in slow start
+	moduleSlowStartStride = 10   // every tenth worker is in slow start in such a measurement
 
 	// requestInterval is the time between two requests at one dispatcher if 300 dispatchers together receive the
 	// target's 8,000 requests per second.
@@ -45,9 +45,9 @@
 	return decision.Endpoint{Name: workerName(i), Zone: i % Zones, Cell: i / cellWorkers, State: decision.Running, Weight: 1}
 }
 
-// newModule starts a module with a number of listed workers. One in perSlowStart of them is in slow start, or none if that
-// is 0.
-func newModule(workers, perSlowStart, peers, teams int) (*module, error) {
+// newModule starts a module with the given number of listed workers. Every slowStartStride-th worker is in slow start, or
+// none if slowStartStride is 0.
+func newModule(workers, slowStartStride, peers, teams int) (*module, error) {
 	text, err := settingsJSON(peers, teams)
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	endpoints := make([]decision.Endpoint, workers)
 	for i := range endpoints {
 		endpoints[i] = endpoint(i)
-		if perSlowStart > 0 && i%perSlowStart == 0 {
+		if slowStartStride > 0 && i%slowStartStride == 0 {
 			endpoints[i].StartedAt = runStart
 		}
 	}
--- a/internal/rehearsal/capacity/modulemeasure.go
+++ b/internal/rehearsal/capacity/modulemeasure.go
@@ -8,17 +8,17 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// measureModule measures the decision module once with a number of listed workers.
+// measureModule measures the decision module once with the given number of listed workers.
 func measureModule(slopes *Slopes, workers int) error {
 	for _, requests := range []struct {
-		series       SeriesName
-		perSlowStart int // one in this many workers is in slow start; none if it is 0
-		count        int
+		series          SeriesName
+		slowStartStride int // every slowStartStride-th worker is in slow start, or none if it is 0
+		count           int
 	}{
 		{series: ModuleRequest, count: requestsPerRun},
-		{series: ModuleSlowStartRequest, perSlowStart: workersPerSlowStart, count: slowStartRequests},
+		{series: ModuleSlowStartRequest, slowStartStride: moduleSlowStartStride, count: slowStartRequests},
 	} {
-		started, err := newModule(workers, requests.perSlowStart, daemonPeers, daemonTeams)
+		started, err := newModule(workers, requests.slowStartStride, daemonPeers, daemonTeams)
 		if err != nil {
 			return err
 		}
--- a/internal/rehearsal/recording/entry.go
+++ b/internal/rehearsal/recording/entry.go
@@ -10,8 +10,8 @@
 
 // Limits of a recording file, which the reader enforces.
 const (
-	blockEntries       = 1024             // per block that the writer writes
-	maxBlockEntries    = 4 * blockEntries // per block that the reader accepts
+	blockEntries       = 1024             // number of entries in a full block that the writer writes
+	maxBlockEntries    = 4 * blockEntries // largest number of entries in a block that the reader accepts
 	maxFrameBytes      = 1 << 20
 	zstdWindowBytes    = 1 << 20 // window of the files that the writer writes
 	maxZstdWindowBytes = 8 << 20 // window that the reader accepts
@@ -25,7 +25,7 @@
 	Arrival   time.Duration // since the recording's start
 	Class     int           // index in the header's classes
 	Key       uint64        // pseudonym of the member; 0 if the request has no key
-	Duration  time.Duration // service time or, if it was not recorded, from arrival to completion; drawn if neither was recorded
+	Duration  time.Duration // service time or, if it was not recorded, time from arrival to completion; drawn if neither was recorded
 	Effort    time.Duration // estimated work of the request
 	Timeout   time.Duration // how long the client waits for the answer
 	Slots     float64       // slots of a worker that the job occupies
--- a/internal/rehearsal/recording/foldoffset_test.go
+++ b/internal/rehearsal/recording/foldoffset_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// If a line has an ambiguous local time and after it a time since 1970, the latter is the entry's time,
-// which is not ambiguous. Guards against keeping the FoldOffset of the local time, by which the clock
-// corrector might move the entry by an hour.
+// If a line has an ambiguous local time followed by a time since 1970, the entry has the latter, which is
+// not ambiguous. Guards against keeping the FoldOffset of the local time, by which the clock corrector
+// might move the entry by an hour.
 func TestEpochTimeClearsFoldOffset(t *testing.T) {
 	zone, err := time.LoadLocation("Europe/Berlin")
 	if err != nil {
--- a/internal/rehearsal/recording/inputfile.go
+++ b/internal/rehearsal/recording/inputfile.go
@@ -14,7 +14,7 @@
 	hasher         *hashingReader
 	reader         *bufio.Reader // of the decompressed content
 	format         *Format
-	openError      error // why the beginning of the file could not be read; nil if it could
+	openError      error // error of reading the beginning of the file, or nil
 	firstTimestamp int64 // math.MaxInt64 if it is not known
 	inputIndex     int   // index among all inputs
 }
--- a/internal/rehearsal/recording/rawentry.go
+++ b/internal/rehearsal/recording/rawentry.go
@@ -157,8 +157,8 @@
 	return text != "" && len(text) <= maxMethodBytes
 }
 
-// signature returns a hash that is equal for the entries that two sources logged of one request:
-// that of the request id or, if the log has none, of target, method and status.
+// signature returns a hash that is the same for all entries that sources logged for one request: the hash
+// of the request id or, if the log has none, of target, method and status.
 func (r *RawEntry) signature() uint64 {
 	if r.RequestID != "" {
 		return xxhash.Sum64String(r.RequestID)
--- a/internal/rehearsal/recording/report.go
+++ b/internal/rehearsal/recording/report.go
@@ -68,7 +68,7 @@
 	ClockSteps        int    `json:"clock_steps"`                // steps back of the clock
 	SteppedUs         int64  `json:"clock_stepped_us"`           // sum of the steps back
 	OutlierTimestamps int    `json:"odd_stamps"`                 // entries with an outlier timestamp
-	SpreadEntries     int    `json:"spread_within_second"`       // entries of whole seconds that were spread over their second
+	SpreadEntries     int    `json:"spread_within_second"`       // entries with timestamps of whole seconds that were spread over their second
 	FullGroups        int    `json:"crowded_seconds"`            // full groups of entries of one second; see secondSpreader
 	Reordered         bool   `json:"files_put_in_order"`         // the files were not given in the order of their timestamps
 	Duplicates        uint64 `json:"seen_by_two_sources"`        // entries of requests that another source logged too
