--- a/internal/rehearsal/scale/run_test.go
+++ b/internal/rehearsal/scale/run_test.go
@@ -81,8 +81,8 @@
 			t.Errorf("%d versions of phase %s were never applied by all reachable dispatchers", missing, phase)
 		}
 	}
-	if appliedEverywhere != planned {
-		t.Errorf("%d of %d versions were applied by all reachable dispatchers", appliedEverywhere, planned)
+	if appliedEverywhere != run.Plan.VersionCount() {
+		t.Errorf("%d of %d versions were applied by all reachable dispatchers", appliedEverywhere, run.Plan.VersionCount())
 	}
 	if len(run.tracker.appliedVersions) != run.Scenario.Dispatchers {
 		t.Errorf("%d of %d dispatchers reported an applied version", len(run.tracker.appliedVersions), run.Scenario.Dispatchers)
