--- a/cmd/rehearse/flood_test.go
+++ b/cmd/rehearse/flood_test.go
@@ -61,12 +61,12 @@
 		t.Errorf("want unknown connections and rejections: %s", raw)
 	}
 	if connections.Reserve != 40 || connections.Descriptors["backends"]["floor"] == 0 {
-		t.Errorf("want a reserve of 40 and a floor for workers' descriptors: %s", raw)
+		t.Errorf("want a reserve of 40 and a minimum of descriptors for workers above 0: %s", raw)
 	}
 }
 
-// The daemon's descriptor limit is lowered under load, below the number of open descriptors, and restored later: no
-// accepted request is lost, the daemon does not spin, and service recovers.
+// The daemon's descriptor limit is lowered under load, below the number of open descriptors, and restored later. No
+// accepted request may be lost, the daemon must not use the processor in a busy loop, and the service must recover.
 func TestDescriptorsRunOut(t *testing.T) {
 	flood := smallFlood()
 	flood.Hostile = 200
--- a/cmd/rehearse/import_test.go
+++ b/cmd/rehearse/import_test.go
@@ -64,7 +64,7 @@
 	first := readFile(t, path)
 	second := readFile(t, importSample(t))
 	if !bytes.Equal(first, second) || len(first) == 0 {
-		t.Error("the same input, rules and seed give other bytes")
+		t.Error("the same input, rules and seed give different bytes or an empty file")
 	}
 }
 
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	if len(left) != 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("failed commands left output files: %v", left)
 	}
 }
 
--- a/cmd/rehearse/recordingload.go
+++ b/cmd/rehearse/recordingload.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	loadWindowS     = 10          // length, in seconds, of the windows of which the busiest determines the load
+	loadWindowS     = 10          // length of a window in seconds; the busiest window determines the load
 	minClassTimeout = time.Second // shortest timeout of a class in the daemon's configuration
 )
 
--- a/cmd/rehearse/scale_test.go
+++ b/cmd/rehearse/scale_test.go
@@ -69,7 +69,7 @@
 			t.Errorf("%+v, want one record of 30 workers with its command", records)
 		}
 		if svg := readFile(t, chart); !strings.Contains(string(svg), "<svg") {
-			t.Errorf("the chart is no SVG: %.40s", svg)
+			t.Errorf("the chart is not an SVG file: %.40s", svg)
 		}
 	})
 	t.Run("exceeded bound", func(t *testing.T) {
@@ -81,7 +81,7 @@
 	t.Run("invalid scenario", func(t *testing.T) {
 		exitCode, text := runScale(t, program, scaleScenario+"colour = 1\n")
 		if exitCode != exitFailure || !strings.Contains(text, "colour: unknown key") {
-			t.Errorf("exit code %d, want a failure by the key colour: %s", exitCode, text)
+			t.Errorf("exit code %d, want a failure that names the key colour: %s", exitCode, text)
 		}
 	})
 }
--- a/cmd/rehearse/simshrink.go
+++ b/cmd/rehearse/simshrink.go
@@ -25,7 +25,7 @@
 	Output   string `name:"out" short:"o" placeholder:"FILE" help:"File to write the reduced scenario to; by default standard output."`
 }
 
-// isBad reports whether a run is bad by --when.
+// isBad reports whether a run meets the condition that --when selects.
 func (c *simShrinkCmd) isBad(result simulator.Result) bool {
 	if c.When == whenViolated {
 		return len(result.Violations) > 0
@@ -38,7 +38,7 @@
 	return false
 }
 
-// badRequests counts the requests of a class that make a run bad by --when.
+// badRequests counts the requests of a class that meet the condition that --when selects.
 func (c *simShrinkCmd) badRequests(class *simulator.ClassResult) int {
 	switch c.When {
 	case whenFailed:
--- a/cmd/rehearse/slopes_test.go
+++ b/cmd/rehearse/slopes_test.go
@@ -30,8 +30,8 @@
 	capacity.ModuleSweep:                  true,
 }
 
-// In a small slope run with the daemon, every series has values, and those that do not depend on the machine are right.
-// The results of two runs are merged.
+// A small slope run with the daemon gives all series, and the values that do not depend on the machine are correct. A
+// second run is merged into the file of the first.
 func TestSlopes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "slopes.json")
 	program := filepath.Join(filepath.Dir(daemon), daemonServeProgram)
--- a/internal/rehearsal/capacity/proxy.go
+++ b/internal/rehearsal/capacity/proxy.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// versionKey is a text that each snapshot and each delta of discovery contains exactly once.
+// versionKey is a text that every snapshot and every delta from discovery contains exactly once.
 var versionKey = []byte(`"seq":`)
 
 // CountingProxy forwards TCP connections to a server. It counts the bytes that they carry, not including TCP and IP headers,
--- a/internal/rehearsal/capacity/slopes_test.go
+++ b/internal/rehearsal/capacity/slopes_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A file in which a point has not exactly one value for each repetition is rejected.
+// A file is rejected if one of its points does not have exactly one value for each repetition.
 func TestReadSlopesChecksRepetitions(t *testing.T) {
 	slopes := testSlopes()
 	slopes.Repetitions = 2
--- a/internal/rehearsal/scale/chart.go
+++ b/internal/rehearsal/scale/chart.go
@@ -70,7 +70,7 @@
 	return created
 }
 
-// addLine adds a line to a plot: the increase of a count per second, between each sample and the next.
+// addLine adds a line to a plot. It shows the rate of a count, per second, between each sample and the next.
 func addLine(target *plot.Plot, run *Run, lineColor color.Color, count func(*sample) float64) error {
 	var points plotter.XYs
 	startedAt := run.samples[0].takenAt
--- a/internal/rehearsal/scale/scenario_test.go
+++ b/internal/rehearsal/scale/scenario_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Violations names the figures that exceed a bound, and nothing for a mechanism to which the bounds do not apply.
+// Violations names the figures that exceed a bound. It returns nothing for a mechanism to which the bounds do not apply.
 func TestBoundsReportViolations(t *testing.T) {
 	figures := Figures{
 		{Name: "in_force.calm.p99", Value: 3},
