--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -20,9 +20,9 @@
 var (
 	// ErrMalformed is returned for a message that is not HTTP/1.x, or whose end is ambiguous.
 	ErrMalformed = errors.New("malformed HTTP")
-	// ErrHeadTooLong is returned for a head of more than maxHead bytes.
+	// ErrHeadTooLong is returned for a head of more than maxHeadBytes bytes.
 	ErrHeadTooLong = errors.New("head too long")
-	// ErrBodyTooLong is returned for a body of more than maxBody bytes.
+	// ErrBodyTooLong is returned for a body of more than maxBodyBytes bytes.
 	ErrBodyTooLong = errors.New("body too long")
 )
 
--- a/internal/testkit/acceptedconn.go
+++ b/internal/testkit/acceptedconn.go
@@ -59,7 +59,7 @@
 // Addr returns the address that tests give to the code under test as that of a worker or a server.
 func (l *Listener) Addr() string { return l.listener.Addr().String() }
 
-// Accept waits for the next connection, and fails the test if none comes within Patience.
+// Accept waits for the next connection, and fails the test if none comes within WaitTimeout.
 func (l *Listener) Accept() *AcceptedConn {
 	l.t.Helper()
 	l.listener.SetDeadline(time.Now().Add(WaitTimeout))
@@ -107,7 +107,7 @@
 }
 
 // AcceptedConn is the worker's or server's end of a connection, on which a test reads requests and writes responses
-// step by step. Reads and writes fail after Patience.
+// step by step. Reads and writes fail after WaitTimeout.
 type AcceptedConn struct {
 	Conn   net.Conn
 	Reader *bufio.Reader // reads from Conn
--- a/internal/testkit/clientconn.go
+++ b/internal/testkit/clientconn.go
@@ -16,7 +16,7 @@
 }
 
 // Connect opens a client's connection to a front end, which is closed at the end of the test, and sends text, which may
-// be empty or a part of a request. Reads and writes fail after Patience.
+// be empty or a part of a request. Reads and writes fail after WaitTimeout.
 func Connect(t *testing.T, addr, text string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
--- a/internal/testkit/rig.go
+++ b/internal/testkit/rig.go
@@ -184,7 +184,7 @@
 	r.Engine = engine
 }
 
-// Until waits until holds returns true, and fails the test after Patience. what describes the condition.
+// Until waits until holds returns true, and fails the test after WaitTimeout. what describes the condition.
 func Until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	end := time.Now().Add(WaitTimeout)
@@ -196,7 +196,7 @@
 	}
 }
 
-// Receive returns the next value from a channel, and fails the test if there is none within Patience.
+// Receive returns the next value from a channel, and fails the test if there is none within WaitTimeout.
 func Receive[T any](t *testing.T, c chan T) (value T) {
 	t.Helper()
 	select {
--- a/internal/testkit/scriptedworker.go
+++ b/internal/testkit/scriptedworker.go
@@ -24,7 +24,7 @@
 	scripts     []string
 	split       int
 	arrivals    map[string]int // number of requests by correlation ID
-	connections []net.Conn     // accepted since the latest HangUp
+	connections []net.Conn     // accepted since the latest CloseConnections
 }
 
 // NewScriptedWorker starts a worker, which is stopped at the end of the test. It has no scripts yet.
@@ -46,8 +46,8 @@
 func (w *ScriptedWorker) Addr() string { return w.listener.Addr().String() }
 
 // SetScripts sets the responses to the next requests. IDENTITY in them is replaced by the request's correlation ID. The
-// worker closes the connection after a response that has no complete head or that contains HangUpField, and when a
-// request arrives for which no script is left.
+// worker closes the connection after a response that has no complete head or that contains CloseConnectionField, and
+// when a request arrives for which no script is left.
 func (w *ScriptedWorker) SetScripts(scripts ...string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -69,8 +69,8 @@
 	return w.arrivals[id]
 }
 
-// ConnectionsAccepted returns how many connections have been accepted since the latest HangUp. Tests use it to check
-// whether a connection was reused.
+// ConnectionsAccepted returns how many connections have been accepted since the latest CloseConnections. Tests use it
+// to check whether a connection was reused.
 func (w *ScriptedWorker) ConnectionsAccepted() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
