--- a/internal/rehearsal/capacity/measure.go
+++ b/internal/rehearsal/capacity/measure.go
@@ -19,7 +19,7 @@
 	DeltaRate   float64                    // changes per second during DeltaTime
 	OnProgress  func(size, repetition int) // called before each measurement; may be nil
 
-	ModuleOnly bool // measure the decision module only
+	ModuleOnly bool // measure the decision machine only
 }
 
 const (
@@ -55,7 +55,8 @@
 }
 
 // Measure measures, at each size and as often as configured, a daemon without clients that is connected to a stand-in
-// discovery, and the decision module without a daemon. It returns what starts, idle time, changes and requests cost them.
+// discovery, and the decision machine without a daemon. It returns what starts, idle time, changes and requests cost
+// them.
 func Measure(config Config) (Slopes, error) {
 	slopes := Slopes{
 		Date:        time.Now().Format(time.DateOnly),
--- a/internal/rehearsal/capacity/module.go
+++ b/internal/rehearsal/capacity/module.go
@@ -23,7 +23,7 @@
 
 	teamAxisWorkers = 2100            // number of listed workers while the number of teams varies
 	taskAxisWorkers = 21000           // number of listed workers while the number of running tasks varies
-	sweepTimerID    = uint64(1) << 62 // identifier of the decision module's sweep timer; it is larger than the number of any request
+	sweepTimerID    = uint64(1) << 62 // identifier of the decision machine's sweep timer; it is larger than the number of any request
 )
 
 var (
--- a/internal/rehearsal/capacity/modulemeasure.go
+++ b/internal/rehearsal/capacity/modulemeasure.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// measureModule measures the decision module once with the given number of listed workers.
+// measureModule measures the decision machine once with the given number of listed workers.
 func measureModule(slopes *Slopes, workers int) error {
 	for _, requests := range []struct {
 		series          SeriesName
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// measureAxes measures how the cost of the decision module depends on the numbers of teams and of running tasks.
+// measureAxes measures how the cost of the decision machine depends on the numbers of teams and of running tasks.
 func measureAxes(slopes *Slopes) error {
 	for _, teams := range teamCounts {
 		started, err := newModule(teamAxisWorkers, 0, daemonPeers, teams)
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// measureRunningTasks measures the memory that running tasks occupy in the decision module, and the time of a sweep over
-// them.
+// measureRunningTasks measures the memory that running tasks occupy in the decision machine, and the time of a sweep
+// over them.
 func measureRunningTasks(slopes *Slopes, tasks int) error {
 	started, err := newModule(taskAxisWorkers, 0, 1, 1)
 	if err != nil {
--- a/internal/rehearsal/capacity/slopes.go
+++ b/internal/rehearsal/capacity/slopes.go
@@ -31,8 +31,8 @@
 // SeriesName names what a series measures.
 type SeriesName string
 
-// The series of a slope run. Those that begin with Module measure the decision module alone; the others measure the daemon,
-// from outside.
+// The series of a slope run. Those that begin with Module measure the decision machine alone; the others measure the
+// daemon, from outside.
 const (
 	ReadyTime                    SeriesName = "ready"             // time from the daemon's start until it is ready
 	StartCPU                     SeriesName = "start_cpu"         // processor time of the start
--- a/internal/rehearsal/scale/hollowprocess.go
+++ b/internal/rehearsal/scale/hollowprocess.go
@@ -93,8 +93,9 @@
 	hollowProcessors      = 2 // GOMAXPROCS: the event loop and the network poller run in parallel
 )
 
-// hollowProcess is a running process of hollow dispatchers. Each has the real dispatcher, decision module and registry,
-// but neither clients nor workers. All dispatchers of a process share one event loop and one transport engine.
+// hollowProcess is a running process of hollow dispatchers. Each has the real dispatcher, decision machine and
+// registry, but neither clients nor workers. All dispatchers of a process share one event loop and one transport
+// engine.
 type hollowProcess struct {
 	config      hollowConfig
 	loop        *eventloop.Loop
--- a/internal/rehearsal/scale/scenario.go
+++ b/internal/rehearsal/scale/scenario.go
@@ -5,8 +5,8 @@
 // the run.
 //
 // A hollow dispatcher, like a hollow node of Kubernetes' kubemark, is a real control plane client without a data plane: it
-// follows the endpoint list with the real dispatcher, decision module and registry, but has neither clients nor workers.
-// The listed workers do not exist. Hollow dispatchers are compared with real daemons of the same zones.
+// follows the endpoint list with the real dispatcher, decision machine and registry, but has neither clients nor
+// workers. The listed workers do not exist. Hollow dispatchers are compared with real daemons of the same zones.
 package scale
 
 import (
--- a/internal/rehearsal/simulator/clock.go
+++ b/internal/rehearsal/simulator/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// runStart is the virtual time at which a run begins. It is far from 0, since the decision module reads a time of 0
+// runStart is the virtual time at which a run begins. It is far from 0, since the decision machine reads a time of 0
 // as "long ago".
 const runStart = 1_000_000 * time.Second
 
--- a/internal/rehearsal/simulator/simulation.go
+++ b/internal/rehearsal/simulator/simulation.go
@@ -1,6 +1,6 @@
-// Package simulator runs a fleet in virtual time: real dispatchers (dispatch.Dispatcher with the decision module) among
-// models of clients, network, workers and discovery. All randomness comes from one seed and nothing waits for a real
-// clock, so that the same scenario and seed give the same event log, byte for byte.
+// Package simulator runs a fleet in virtual time: real dispatchers (dispatch.Dispatcher with the decision machine)
+// among models of clients, network, workers and discovery. All randomness comes from one seed and nothing waits for a
+// real clock, so that the same scenario and seed give the same event log, byte for byte.
 //
 // A Simulation runs on the goroutine that calls Run. It must not read the system's clock, depend on the iteration order
 // of a map, or start goroutines.
