--- a/internal/connlimit/config.go
+++ b/internal/connlimit/config.go
@@ -70,13 +70,13 @@
 	TrustedProxies  []netip.Prefix // proxies whose PROXY headers are accepted
 	Learn           LearnConfig
 
-	Addresses, Prefixes int    // sizes of the tables; defaults 16384 and 4096, always more than Capacity
+	Addresses, Prefixes int    // sizes of the tables; defaults 16384 and 4096, raised above Capacity if lower
 	Seed                uint64 // seed of the hash tables; must be secret, so that clients cannot provoke collisions
 	Anonymous           bool   // connections are only added by Adopt, and no addresses are remembered
 
 	Grace              time.Duration // for how long a half-read connection is not evicted, except ForMemory; default 1 s
-	SilentGrace        time.Duration // for how long a connection that becomes silent is not evicted; default Grace
-	CrowdedSilentGrace time.Duration // replaces SilentGrace while TooManySilent, for ForSilence; default 2.5 s
+	SilentGrace        time.Duration // for how long a connection on which no byte has arrived is not evicted; default Grace
+	CrowdedSilentGrace time.Duration // used instead of SilentGrace ForSilence, that is while TooManySilent; default 2.5 s
 
 	MinRate   float64       // minimum rate of a half-read request in bytes per second; 0 means no limit
 	RateGrace time.Duration // time from the request's first byte until MinRate applies; default 500 ms
--- a/internal/connlimit/descriptorbudget.go
+++ b/internal/connlimit/descriptorbudget.go
@@ -38,11 +38,11 @@
 	defaultHysteresis   = 0.05
 )
 
-// Watermarks are the shares of the descriptors that must be in use for the levels of
-// pressure. A value of 0 means the default.
+// Watermarks are the shares of descriptors in use at which the levels of pressure begin
+// and end. A value of 0 means the default.
 type Watermarks struct {
 	Low, High, Critical float64 // PressureLow, PressureHigh and PressureCritical begin here; defaults 0.8, 0.9, 0.97
-	Hysteresis          float64 // distance below its watermark at which a level ends; default 0.05
+	Hysteresis          float64 // a level ends when the share is below its watermark by more than this; default 0.05
 }
 
 func (w *Watermarks) setDefaults() {
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// DescriptorBudget counts the descriptors of each kind, and reserves a minimum number
-// for each kind, its floor, which other kinds cannot use. Its methods may be called
-// from any goroutine.
+// DescriptorBudget counts the descriptors in use by kind. For each kind it reserves a
+// minimum number, the floor of the kind, which other kinds cannot use. Its methods may
+// be called from any goroutine.
 type DescriptorBudget struct {
 	mu          sync.Mutex
 	total       int
@@ -120,8 +120,9 @@
 	return nil
 }
 
-// Acquire takes a descriptor. It returns false if none is left that is not reserved by
-// the floors of other kinds.
+// Acquire takes a descriptor for a kind. It always succeeds while the kind uses fewer
+// than its floor. Otherwise it returns false if every descriptor is in use or reserved
+// by the floor of another kind.
 func (b *DescriptorBudget) Acquire(kind DescriptorKind) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -154,7 +155,7 @@
 }
 
 // ForcePressure sets a minimum level of pressure. It is used when the kernel has no
-// descriptor left although the budget has. PressureNone ends this.
+// descriptor left although the budget has. PressureNone removes the minimum.
 func (b *DescriptorBudget) ForcePressure(level Pressure) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -41,10 +41,10 @@
 // none.
 //
 // Connections of unknown addresses are evicted before those of trusted ones. Within
-// these groups they are evicted in the order of evictionOrder, and within a stage the
-// connection that has been in the stage the longest is evicted first. A connection that
-// has become silent or half read is not a candidate during its grace period, since a
-// request is probably on its way.
+// these groups they are evicted in the order of the Stages, and within a stage the
+// connection that has been in the stage the longest is evicted first. A silent or
+// half-read connection is not a candidate during its grace period, which begins when it
+// enters the stage, since a request is probably on its way. ForMemory has no grace period.
 func (l *Limiter) EvictionCandidate(now time.Duration, need EvictionReason, spared Spared) (Candidate, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,8 +110,8 @@
 }
 
 // TooManySilent reports whether more than half of the capacity is used by silent
-// connections, which is more than clients cause that connect before they have a
-// request.
+// connections. Clients that merely connect before they have a request do not cause so
+// many.
 func (l *Limiter) TooManySilent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +121,7 @@
 func (l *Limiter) tooManySilent() bool { return l.silent > l.config.Capacity/2 }
 
 // NotBusyWithin returns the tokens of a prefix's connections on which no response is owed.
-// They can be closed when the prefix is blocked.
+// The caller can close these connections when it blocks the prefix.
 func (l *Limiter) NotBusyWithin(prefix netip.Prefix) (tokens []Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -6,6 +6,7 @@
 // It does no I/O, starts no goroutine and reads no clock. Methods get the time as an
 // argument, so that the same calls with the same times lead to the same decisions.
 //
+// A client is trusted if its address is known, learned or a trusted proxy's; see Trust.
 // A trusted client can always use its part of the reserve. The entry of an address that has
 // connections is never removed to make room for a new one. A connection on which a
 // response is owed is never evicted. The use of memory does not depend on the number
--- a/internal/connlimit/pressure.go
+++ b/internal/connlimit/pressure.go
@@ -4,8 +4,7 @@
 // in use.
 type Pressure int
 
-// The levels of pressure. The measures of the lower levels also apply at the higher
-// ones.
+// The levels of pressure. The measures of a level also apply at all higher levels.
 const (
 	PressureNone     Pressure = iota
 	PressureLow               // idle connections of unknown addresses are evicted
--- a/internal/connlimit/reason.go
+++ b/internal/connlimit/reason.go
@@ -8,11 +8,11 @@
 	Allowed         Reason = iota // the connection or request is not rejected
 	Blocked                       // the address is blocked by Block
 	AddressOpen                   // Limits.Open of the address is exceeded
-	AddressOpening                // Limits.Opening of the address
-	AddressRate                   // Limits.PerSecond and Burst of the address
-	AddressHalfRead               // Limits.HalfRead of the address
-	AddressBytes                  // Limits.Bytes of the address
-	PrefixOpen                    // Limits.Open of the prefix is exceeded, and so on
+	AddressOpening                // Limits.Opening of the address is exceeded
+	AddressRate                   // Limits.PerSecond and Burst of the address are exceeded
+	AddressHalfRead               // Limits.HalfRead of the address is exceeded
+	AddressBytes                  // Limits.Bytes of the address is exceeded
+	PrefixOpen                    // Limits.Open of the prefix is exceeded; the next four are its other limits
 	PrefixOpening
 	PrefixRate
 	PrefixHalfRead
@@ -23,7 +23,7 @@
 	TotalRate           // Config.Rate is exceeded
 	NoDescriptors       // no descriptors, or almost none, are left
 	BadHeader           // a trusted proxy has not sent a valid PROXY header
-	SlowRequest         // a request arrives at less than Config.MinRate
+	SlowRequest         // a request arrives more slowly than Config.MinRate
 	ResponsesUnread     // the client does not read its responses
 	MemoryShareExceeded // the client uses more memory than its share
 	NumReasons          // the number of reasons
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -111,10 +111,10 @@
 	l.setStage(index, stage, now)
 }
 
-// TooSlow reports whether a request arrives at less than Config.MinRate. Its first byte
-// arrived at the time since, and the given number of bytes have arrived so far. If the
-// request is not too slow, checkAgain is the time at which it must be checked again, or
-// 0 if there is no minimum rate.
+// TooSlow reports whether a request arrives more slowly than Config.MinRate. since is
+// the time at which its first byte arrived, and bytes is how many have arrived so far. If
+// the request is not too slow, checkAgain is the time at which it must be checked again,
+// or 0 if there is no minimum rate.
 func (l *Limiter) TooSlow(now, since time.Duration, bytes int) (slow bool, checkAgain time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connlimit/stage.go
+++ b/internal/connlimit/stage.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Stage is the present stage of a connection in its sequence of requests.
+// Stage is the state of a connection with regard to its requests: whether it is silent or
+// idle, a request is arriving, or a response is owed.
 type Stage uint8
 
 // The stages. Connections are evicted in this order, except Busy ones, which are never
--- a/internal/connlimit/trust.go
+++ b/internal/connlimit/trust.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Trust is the trust in an address, under which its connections are counted.
+// Trust is the level of trust in an address. Open connections are counted by level.
 type Trust uint8
 
 // The levels of trust.
@@ -13,7 +13,7 @@
 	Unknown      Trust = iota
 	Learned            // enough requests of the address were served recently
 	Known              // the address is in Config.Known
-	TrustedProxy       // the connection is a proxy's whose PROXY header has not named the client yet
+	TrustedProxy       // the connection comes from a trusted proxy, and no PROXY header has named its client yet
 	numTrusts
 )
 
@@ -79,9 +79,9 @@
 	l.addresses.setLearned(connection.address, float64(entry.score) >= learn.MinScore)
 }
 
-// ReportAbuse counts a rejection for a reason that is an abuse by the connection's
-// client. If the address is Learned, it becomes Unknown. Its served requests are not
-// counted for the next minute.
+// ReportAbuse counts a rejection whose reason is abuse by the connection's client. If
+// the client's address is Learned, it becomes Unknown. For the next minute, served
+// requests do not count towards the address becoming Learned.
 func (l *Limiter) ReportAbuse(now time.Duration, id ID, reason Reason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/listener/admission.go
+++ b/internal/listener/admission.go
@@ -31,8 +31,9 @@
 	return addr.Unmap()
 }
 
-// Admit implements transport.Admission. It defers the decision on a connection of a
-// trusted client for which there is no capacity, unless too many connections wait.
+// Admit implements transport.Admission. If there is no capacity for a connection of a
+// trusted client, it defers the decision to WaitForCapacity, unless too many connections
+// wait already.
 func (g *Gate) Admit(conn net.Conn) transport.AdmissionResult {
 	addr := peerAddr(conn)
 	id, reason := g.tryAdmit(addr)
@@ -87,7 +88,7 @@
 }
 
 // WaitForCapacity implements transport.Admission. It evicts other connections until
-// conn can be admitted or evictionAttempts is reached.
+// conn can be admitted, and rejects conn after evictionAttempts evictions.
 func (g *Gate) WaitForCapacity(conn net.Conn) transport.AdmissionResult {
 	defer g.waiting.Add(-1)
 	addr := peerAddr(conn)
--- a/internal/listener/frontend.go
+++ b/internal/listener/frontend.go
@@ -25,14 +25,14 @@
 	return connlimit.Token(token | uint64(frontEnd)<<frontEndShift)
 }
 
-// AddFrontEnd sets the front end with a number, 0 or 1. The number is part of the tokens
-// of its connections.
+// AddFrontEnd registers a front end under a number, 0 or 1. The number is part of the
+// connlimit.Tokens of the front end's connections.
 func (g *Gate) AddFrontEnd(number int, frontEnd FrontEnd) { g.frontEnds[number] = frontEnd }
 
-// RegisterConnection records that the front end with a number has got a connection, which it
-// identifies by its own token, and returns the connection's ID in the Limiter.
-// admissionToken is that of the transport.Conn, which is 0 if the connection was
-// accepted without Admit.
+// RegisterConnection records that a front end has received a connection, and returns the
+// connection's ID in the Limiter. number is the front end's number, and token is its own
+// identifier of the connection, which Evict gets. admissionToken is that of the
+// transport.Conn, which is 0 if the connection was accepted without Admit.
 func (g *Gate) RegisterConnection(number int, token uint64, admissionToken transport.AdmissionToken) connlimit.ID {
 	if admissionToken == 0 {
 		return g.Limiter.Adopt(g.loop.Now(), limiterToken(number, token))
@@ -48,7 +48,8 @@
 	return g.Limiter.EvictionCandidate(g.loop.Now(), need, spared)
 }
 
-// CloseConnection has its front end close a connection that EvictionCandidate returned.
+// CloseConnection makes the front end of a connection close it. The token is one that
+// EvictionCandidate returned.
 func (g *Gate) CloseConnection(token connlimit.Token) {
 	frontEnd := g.frontEnds[token>>frontEndShift]
 	if frontEnd != nil {
--- a/internal/listener/gate.go
+++ b/internal/listener/gate.go
@@ -1,8 +1,8 @@
 // Package listener applies the decisions of package connlimit to connections. Its
-// Gate is the Admission of a transport.Engine. It asks a Limiter whether to admit
-// accepted connections, evicts other connections to free capacity, reacts to pressure
-// on the descriptors, and answers and logs rejections. The package also parses PROXY
-// headers.
+// Gate implements transport.Admission: it asks a connlimit.Limiter whether to admit an
+// accepted connection, evicts other connections to free capacity, reacts when
+// descriptors become scarce, and answers and logs rejections. The package also parses
+// PROXY headers.
 //
 // Decisions on accepted connections are made off the event loop, so that a busy
 // loop does not delay the next accept.
@@ -34,8 +34,8 @@
 )
 
 // Gate admits, evicts and rejects the client connections of one process. Its exported
-// fields must be set before the first connection. The methods of transport.Admission
-// and LogRejection may be called from any goroutine, all other methods only on the
+// fields must be set before the first connection. LogRejection and the methods of
+// transport.Admission may be called from any goroutine, all other methods only on the
 // loop's goroutine.
 type Gate struct {
 	Limiter          *connlimit.Limiter
@@ -63,7 +63,7 @@
 
 var _ transport.Admission = (*Gate)(nil)
 
-// SilentGrace is how long a connection may be silent, if NewUnlimited created the Gate, before it may be evicted for a
+// SilentGrace is how long a Gate that NewUnlimited created lets a connection be silent before it may be evicted for a
 // waiting one. A client that has a request sends it together with the end of the handshake, so the time can be short.
 // It should be short, since the kernel's queue does not distinguish connections: behind a crowd of clients that send
 // nothing, another client waits for SilentGrace each time that the crowd fills all connections.
--- a/internal/listener/pressure.go
+++ b/internal/listener/pressure.go
@@ -13,7 +13,7 @@
 )
 
 // Exhausted implements transport.Admission. It raises the pressure, since the kernel
-// had no descriptor left although the budget may have.
+// had no descriptor left, even if the budget still has some.
 func (g *Gate) Exhausted() {
 	g.Budget.ForcePressure(connlimit.PressureHigh)
 	g.exhaustedAt.Store(int64(g.loop.Now()))
--- a/internal/listener/proxyheader.go
+++ b/internal/listener/proxyheader.go
@@ -11,8 +11,8 @@
 	"github.com/pires/go-proxyproto"
 )
 
-// ErrProxyHeader is returned if bytes do not begin with a valid PROXY header, either for
-// a TCP client or for a connection of the proxy itself.
+// ErrProxyHeader is returned if bytes do not begin with a valid PROXY header. The header
+// must either name a TCP client or state that the connection is the proxy's own.
 var ErrProxyHeader = errors.New("no PROXY header that can be read")
 
 // Constants from the specification of the PROXY protocol, except maxV2Extension.
@@ -38,8 +38,9 @@
 // Complete reports whether the header has arrived completely.
 func (h ProxyHeader) Complete() bool { return h.Length > 0 }
 
-// ParseProxyHeader parses a PROXY header of version 1 or 2 at the beginning of b. If the
-// header is not Complete, the error is nil. An error is always ErrProxyHeader.
+// ParseProxyHeader parses a PROXY header of version 1 or 2 at the beginning of b. If b
+// holds only a part of a header, the result is not Complete and the error is nil. An
+// error is always ErrProxyHeader.
 func ParseProxyHeader(b []byte) (ProxyHeader, error) {
 	length, err := proxyHeaderLength(b)
 	if err != nil || length == 0 {
