--- a/internal/rehearsal/capacity/measure.go
+++ b/internal/rehearsal/capacity/measure.go
@@ -13,18 +13,18 @@
 type Config struct {
 	Program     string                     // path of the daemon, dispatcher-serve
 	Sizes       []int                      // numbers of listed workers to measure
-	Repetitions int                        // of each size
+	Repetitions int                        // number of measurements at each size
 	IdleTime    time.Duration              // how long the daemon is measured while nothing changes
 	DeltaTime   time.Duration              // how long the daemon is measured while workers change one by one
 	DeltaRate   float64                    // changes per second during DeltaTime
 	OnProgress  func(size, repetition int) // called before each measurement; may be nil
 
-	ModuleOnly bool // measure the decision module only
+	ModuleOnly bool // measure the decision machine only
 }
 
 const (
 	kindName            = "standard"
-	cellWorkers         = 40 // number of workers in a cell; no decision in these measurements depends on it
+	cellWorkers         = 40 // number of workers in a cell, which the endpoint list calls block; no decision in these measurements depends on it
 	idleSampleInterval  = 50 * time.Millisecond
 	requiredIdleSamples = 4                     // consecutive samples in which the daemon must be idle
 	maxIdleCPU          = time.Millisecond      // processor time between two samples up to which the daemon counts as idle
@@ -55,7 +55,8 @@
 }
 
 // Measure measures, at each size and as often as configured, a daemon without clients that is connected to a stand-in
-// discovery, and the decision module without a daemon. It returns what starts, idle time, changes and requests cost them.
+// discovery, and the decision machine without a daemon. It returns what starts, idle time, changes and requests cost
+// them.
 func Measure(config Config) (Slopes, error) {
 	slopes := Slopes{
 		Date:        time.Now().Format(time.DateOnly),
--- a/internal/rehearsal/capacity/slopes.go
+++ b/internal/rehearsal/capacity/slopes.go
@@ -31,8 +31,8 @@
 // SeriesName names what a series measures.
 type SeriesName string
 
-// The series of a slope run. Those that begin with Module measure the decision module alone; the others measure the daemon,
-// from outside.
+// The series of a slope run. Those that begin with Module measure the decision machine alone; the others measure the
+// daemon, from outside.
 const (
 	ReadyTime                    SeriesName = "ready"             // time from the daemon's start until it is ready
 	StartCPU                     SeriesName = "start_cpu"         // processor time of the start
@@ -49,7 +49,7 @@
 	ModuleDelta                  SeriesName = "module_delta"      // time of a one-worker delta
 	ModuleRequest                SeriesName = "module_arrival"    // mean time of the decision on a request, no worker in slow start
 	ModuleSlowStartRequest       SeriesName = "module_cold"       // mean time of the decision on a request, a tenth of the workers in slow start
-	ModuleSlowStartRequestMedian SeriesName = "module_cold_pick"  // median time of the same decisions as in ModuleCold
+	ModuleSlowStartRequestMedian SeriesName = "module_cold_pick"  // median time of the same decisions as in ModuleSlowStartRequest
 	ModuleRequestByTeams         SeriesName = "module_teams"      // mean time of the decision on a request, by the number of teams with quotas
 	ModuleTaskMemory             SeriesName = "module_held_bytes" // memory of the running tasks, by their number
 	ModuleSweep                  SeriesName = "module_sweep"      // time of one sweep, by the number of running tasks
