--- a/internal/rehearsal/soak/checkrecords_test.go
+++ b/internal/rehearsal/soak/checkrecords_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 )
@@ -122,3 +123,12 @@
 		}
 	}
 }
+
+// Guards against a data race: a worker may still record the fault of its last attempt while the rules are checked.
+func TestRulesAreCheckedBesideLastFault(t *testing.T) {
+	var lastFault sync.WaitGroup
+	checkRecords(t, func(r *run, _ recordMaker) {
+		lastFault.Go(r.records.recordFault)
+	})
+	lastFault.Wait()
+}
--- a/internal/rehearsal/soak/records.go
+++ b/internal/rehearsal/soak/records.go
@@ -47,7 +47,7 @@
 func (r *request) clientLeft() bool { return !r.clientLeftAt.IsZero() }
 
 // records holds the observations of clients and workers. Its methods are safe for concurrent use.
-// The rules read its fields without the lock, after all clients and faults have ended.
+// The rules read its fields under the lock, after all clients and faults have ended.
 type records struct {
 	mutex      sync.Mutex
 	requests   []request
--- a/internal/rehearsal/soak/rules.go
+++ b/internal/rehearsal/soak/rules.go
@@ -35,8 +35,11 @@
 	ruleHarness rule = "harness" // the stand-ins can inject the faults of the schedule
 )
 
-// checkRules checks the records against the rules. It must be called after all clients and faults have ended.
+// checkRules checks the records against the rules. It must be called after all clients and faults have ended. It holds the
+// lock of the records, as a worker may still handle an attempt then.
 func (r *run) checkRules() Report {
+	r.records.mutex.Lock()
+	defer r.records.mutex.Unlock()
 	checker := ruleChecker{run: r, arrived: map[string]bool{}}
 	for _, arrived := range r.records.attempts {
 		checker.arrived[arrived.id] = true
